--- /dev/null
+++ b/tests/decision_transcripts.py
@@ -0,0 +1,169 @@
+"""Transcripts of the balancer's decisions: recorded from seeded days, replayed and compared.
+
+A transcript is text in the simulator's wire vocabulary, so that it does not depend on any name of the
+package: `launch`, then batches of a `begin_batch` line with the clock, the lines of one event, and the
+actions that it led to, marked by `> `. A line `settings <json>` changes the settings. Log lines are left out.
+A difference is a changed decision: record anew only where that is meant, and say so in the commit.
+
+    python -m tests.decision_transcripts record   # write tests/transcripts/ anew
+    python -m tests.decision_transcripts check    # replay and compare
+    python -m tests.decision_transcripts coverage # lines of the decision modules that the replay runs
+"""
+
+from __future__ import annotations
+
+import gzip
+import sys
+from collections.abc import Iterator
+from pathlib import Path
+from types import FrameType
+from typing import Any
+
+from tests.transcript_days import DAYS, LOG, MARK, Simulation
+
+# Everything that depends on the package's Python names stands from here to the end of Subject.
+
+from rosedeal import choice, evidence, generations
+from rosedeal.choice import Balancer
+from rosedeal.generations import first_generation, next_generation
+from rosedeal.interface import ServerList, SettingsChanged
+from rosedeal.settings import finish
+from rosedeal.wire import LIST_KINDS, PARSERS, format_action, parse_server, parse_settings, split_line
+
+DECISION_MODULES = (choice, evidence, generations)
+LIMIT_CONSTANT = (choice, "LIMIT_CUT")  # of the load shedding: changing it a little must be noticed
+
+
+class Subject:
+    """The balancer under test, spoken to in wire lines only."""
+
+    def __init__(self, launch: str) -> None:
+        """`launch`: the wire's line with the seed and the settings."""
+        fields = split_line(launch)[1]
+        settings = parse_settings(fields["bootInfo"])
+        self.balancer = Balancer(settings, int(fields["prng"]))
+        self.generation = first_generation(settings)
+
+    def take(self, now_us: int, lines: list[str]) -> list[str]:
+        """Take one event, of several lines where it carries a table; returns all actions, log lines too."""
+        name, fields = split_line(lines[-1]) if not lines[-1].startswith("settings ") else ("settings", {})
+        event: Any
+        if name == "settings":
+            settings = parse_settings(lines[-1].removeprefix("settings "))
+            self.generation = finish(next_generation(self.generation, settings))
+            event = SettingsChanged(self.generation)
+        elif name == "registry":
+            entries = (parse_server(split_line(line)[1]) for line in lines[1:-1])
+            event = ServerList(LIST_KINDS[fields["how"]], tuple(entries))
+        else:
+            event = PARSERS[name](fields)
+        return [format_action(action) for action in self.balancer.handle(now_us, event)]
+
+
+FOLDER = Path(__file__).parent / "transcripts"
+
+
+class Mismatch(AssertionError):
+    """The first batch whose actions are not those of the transcript."""
+
+
+# Replay
+
+
+def read_events(lines: list[str]) -> Iterator[tuple[int, int, list[str], list[str]]]:
+    """Each event: the number of its batch, the clock, its lines, and the actions recorded after it."""
+    batch, now_us, event = 0, 0, list[str]()
+    for number, line in enumerate(lines):
+        if line.startswith(MARK):
+            continue
+        if line.startswith("begin_batch "):
+            batch, now_us = batch + 1, int(line.rpartition("=")[2])
+            continue
+        event.append(line)
+        if line.startswith(("inventory ", "host ")):
+            continue
+        after = number + 1
+        while after < len(lines) and lines[after].startswith(MARK):
+            after += 1
+        yield batch, now_us, event, [line.removeprefix(MARK) for line in lines[number + 1 : after]]
+        event = []
+
+
+def replay(lines: list[str]) -> list[str]:
+    """Feed a transcript's events to a new balancer; raises Mismatch at once, returns the log lines."""
+    subject = Subject(lines[0])
+    logged: list[str] = []
+    for batch, now_us, event, expected in read_events(lines[1:]):
+        actions = subject.take(now_us, event)
+        logged += [line for line in actions if line.startswith(LOG)]
+        found = [line for line in actions if not line.startswith(LOG)]
+        if found != expected:
+            where = f"batch {batch} at {now_us} us, after '{event[-1]}'"
+            raise Mismatch(f"{where}: recorded {expected}, decided {found}")
+    return logged
+
+
+def load(path: Path) -> list[str]:
+    """The lines of a recorded transcript."""
+    return gzip.decompress(path.read_bytes()).decode().splitlines()
+
+
+def recorded() -> list[Path]:
+    """The recorded transcripts, by name."""
+    return sorted(FOLDER.glob("*.txt.gz"))
+
+
+# The command
+
+
+def record() -> None:
+    """Write all transcripts anew."""
+    FOLDER.mkdir(exist_ok=True)
+    for day in DAYS:
+        text = "\n".join(Simulation(day, Subject).run()) + "\n"
+        data = gzip.compress(text.encode(), compresslevel=9, mtime=0)
+        (FOLDER / f"{day.name}.txt.gz").write_bytes(data)
+        print(f"{day.name}: {text.count(chr(10))} lines, {len(data)} bytes")
+
+
+def check() -> None:
+    """Replay all transcripts; Mismatch names the first batch that differs."""
+    for path in recorded():
+        replay(load(path))
+        print(f"{path.name}: all actions as recorded")
+
+
+def code_lines(path: str) -> set[int]:
+    """Numbers of the lines of a module's functions that may run."""
+    found: set[int] = set()
+    pending = [compile(Path(path).read_text(), path, "exec")]
+    while pending:
+        code = pending.pop()
+        pending += [constant for constant in code.co_consts if hasattr(constant, "co_code")]
+        if "__module__" not in code.co_names and code.co_name != "<module>":  # neither class nor module body
+            found |= {number for _, _, number in code.co_lines() if number and number != code.co_firstlineno}
+    return found
+
+
+def coverage() -> None:
+    """Print the share of the decision modules' lines that the replay runs, and those it does not."""
+    files = {str(module.__file__): set[int]() for module in DECISION_MODULES}
+
+    def trace(frame: FrameType, kind: str, _: object) -> Any:
+        lines = files.get(frame.f_code.co_filename)
+        if lines is not None and kind == "line":
+            lines.add(frame.f_lineno)
+        return trace if lines is not None else None
+
+    sys.settrace(trace)
+    for path in recorded():
+        replay(load(path))
+    sys.settrace(None)
+    for name, lines in files.items():
+        wanted = code_lines(name)
+        share = len(wanted & lines) / len(wanted)
+        print(f"{Path(name).name}: {share:.1%} of {len(wanted)} lines, not run: {sorted(wanted - lines)}")
+
+
+if __name__ == "__main__":
+    {"record": record, "check": check, "coverage": coverage}[sys.argv[1]]()
