--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from rosedeal.gateway.config import parse_config
-from rosedeal.gateway.discovery import QUEUED_S, TOLD_S, Call, News
-from rosedeal.gateway.proxy import Proxy
+from load_balancer.config.file import parse_config
+from load_balancer.gateway.discovery import QUEUED_S, TOLD_S, Call, News
+from load_balancer.gateway.proxy import Proxy
 from tests.sockets import chunk, configuration, entry, news, settings
 
 PROMPT_S = 0.2  # until the answer to a call that does not queue
