--- a/lab/changes.py
+++ b/lab/changes.py
@@ -28,7 +28,7 @@
     SettingsChanged,
 )
 from load_balancer.decisions.settings_version import next_version
-from load_balancer.gateway.client_server import lookup_steps
+from load_balancer.gateway.request_parsing import lookup_steps
 from load_balancer.gateway.discovery import parse_list
 
 MARK = "the tenants stand here"
--- a/lab/hollow.py
+++ b/lab/hollow.py
@@ -34,7 +34,7 @@
 from load_balancer.decisions.endpoint import ListKind
 from load_balancer.decisions.events import AttemptEnded, Event, Outcome, RequestArrived, TimerFired
 from load_balancer.gateway.discovery import DiscoveryClient, WatchEvent
-from load_balancer.gateway.proxy import Clock
+from load_balancer.gateway.clock import Clock
 
 PATIENCE_US = 2_000_000
 ANSWER_S = 0.005
--- /dev/null
+++ b/load_balancer/gateway/attempt_sender.py
@@ -0,0 +1,99 @@
+"""Attempts of clients' requests: each that the balancer asks for has exactly one outcome."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from functools import partial
+
+from load_balancer.decisions.actions import Send
+from load_balancer.decisions.events import AttemptEnded, Event, LoadReport, Outcome
+from load_balancer.gateway.clock import Clock
+from load_balancer.gateway.http_message import Response
+from load_balancer.gateway.load_reports import parse_load_report
+from load_balancer.gateway.request_ledger import PendingRequest, RequestLedger
+from load_balancer.gateway.upstream_pool import EndpointId, UpstreamPool
+
+
+@dataclass(slots=True, frozen=True)
+class SentAttempt:
+    """An attempt in flight.
+
+    Attributes:
+        number: Which of its request's attempts it is, from 0.
+        sent_us: Reading of the clock as it was started.
+    """
+
+    request: PendingRequest
+    number: int
+    endpoint_id: EndpointId
+    sent_us: int
+
+
+class AttemptSender:
+    """Sends attempts and reports their outcomes.
+
+    Attributes:
+        reads_load_reports: Whether responses carry load reports that the balancer wants.
+    """
+
+    def __init__(
+        self,
+        ledger: RequestLedger,
+        upstream: UpstreamPool,
+        clock: Clock,
+        dispatch: Callable[[Event], None],
+        *,
+        reads_load_reports: bool,
+    ) -> None:
+        self.reads_load_reports = reads_load_reports
+        self._ledger = ledger
+        self._upstream = upstream
+        self._clock = clock
+        self._dispatch = dispatch
+
+    def send(self, request: PendingRequest, action: Send) -> None:
+        """Start an attempt, unless its client has gone, its time is over or no further attempt is allowed."""
+        number, sent_us = len(request.attempts), self._clock.now_us()
+        timeout_us = min(action.timeout_us, request.deadline_us - sent_us)
+        exhausted = number >= request.settings_version.settings.max_attempts
+        if not self._ledger.is_wanted(request) or timeout_us <= 0 or exhausted:
+            request.attempts.append(None)
+            self._dispatch(
+                AttemptEnded(request.id, number, action.endpoint_id, Outcome.NOT_SENT, 0, request.is_closed)
+            )
+            return
+        request.attempts_in_flight += 1
+        sent = SentAttempt(request, number, action.endpoint_id, sent_us)
+        attempt = self._upstream.send(
+            action.endpoint_id,
+            request.client_request.encode(timeout_us),
+            timeout_us / 1e6,
+            partial(self._attempt_ended, sent),
+            partial(self._ledger.is_wanted, request),
+        )
+        request.attempts.append(attempt)
+
+    def _attempt_ended(self, sent: SentAttempt, outcome: Outcome, response: Response | None) -> None:
+        request = sent.request
+        request.attempts_in_flight -= 1
+        latency_us = self._clock.now_us() - sent.sent_us
+        if outcome is Outcome.OK and response is not None:
+            self._ledger.answer(request, response)
+        self._dispatch(
+            AttemptEnded(
+                request.id,
+                sent.number,
+                sent.endpoint_id,
+                outcome,
+                latency_us,
+                request.is_closed,
+                self._load_report(response),
+            )
+        )
+        self._ledger.forget_if_over(request)
+
+    def _load_report(self, response: Response | None) -> LoadReport:
+        if response is None or not self.reads_load_reports:
+            return ()
+        return parse_load_report(response.header(b"server-load"))
--- /dev/null
+++ b/load_balancer/gateway/client_connection.py
@@ -0,0 +1,247 @@
+"""One connection from a client: its requests are answered one at a time, in order."""
+
+from __future__ import annotations
+
+import asyncio
+from collections import deque
+from functools import partial
+from typing import Protocol, cast
+
+from load_balancer.gateway.event_log import log_event
+from load_balancer.gateway.http_message import BODY_LIMIT, HttpRequestError, Response, text_response
+from load_balancer.gateway.incoming_request import IncomingRequest, RequestReader
+from load_balancer.gateway.lingering_close import LingeringClose
+from load_balancer.gateway.proxy import Proxy
+from load_balancer.gateway.request_ledger import PendingRequest
+from load_balancer.gateway.request_parsing import RequestLookup, parse_request
+from load_balancer.gateway.socket_state import has_peer_closed
+
+PIPELINE_LIMIT = 8  # requests read ahead of their turn on one connection
+READINESS_PATH = b"/health/ready"
+TOO_MANY_CONNECTIONS = text_response(503, "too many connections")
+
+
+class ConnectionOwner(Protocol):
+    """The server that a connection belongs to.
+
+    Attributes:
+        loop: Runs the connection.
+        proxy: Takes its requests.
+        lookup: What requests may name.
+        draining: Whether the gateway is shutting down.
+    """
+
+    loop: asyncio.AbstractEventLoop
+    proxy: Proxy
+    lookup: RequestLookup
+    draining: bool
+
+    def add(self, connection: ClientConnection) -> None:
+        """Take in a connection that has come up."""
+
+    def discard(self, connection: ClientConnection) -> None:
+        """Forget a connection that is closed."""
+
+
+class ClientConnection(asyncio.Protocol):
+    """A connection from a client.
+
+    Attributes:
+        reader: Reads its requests.
+        transport: None until the connection is up.
+        waiting: Requests that have been read and whose turn has not come.
+        current: The request whose turn it is.
+        is_over_limit: Whether there are too many connections, so that every request is answered 503.
+        is_lingering: Whether the last answer is sent.
+        lingering_close: Ends the connection after that.
+        is_closing_when_idle: Whether it is to be closed unless another request comes first.
+        is_write_paused: Whether the client does not read its answers.
+        last_activity: Loop time at which something was last read or answered.
+    """
+
+    def __init__(self, owner: ConnectionOwner) -> None:
+        self.reader = RequestReader(self, owner.loop.time)
+        self.transport: asyncio.Transport | None = None
+        self.waiting: deque[IncomingRequest] = deque()
+        self.current: IncomingRequest | None = None
+        self.is_over_limit = False
+        self.is_lingering = False
+        self.lingering_close: LingeringClose | None = None
+        self.is_closing_when_idle = False
+        self.is_write_paused = False
+        self.last_activity = self.reader.began_at
+        self._owner = owner
+        self._pending: PendingRequest | None = None  # the current one, once the proxy has accepted it
+
+    # State
+
+    @property
+    def is_idle(self) -> bool:
+        """Whether nothing is being read, served or closed."""
+        return self._has_nothing_to_answer and not self.reader.is_mid_request
+
+    @property
+    def is_evictable(self) -> bool:
+        """Whether it may be closed to make room for another."""
+        return self.is_idle and not self.is_closing_when_idle and not self.reader.is_stopped
+
+    @property
+    def is_mid_only_request(self) -> bool:
+        """Whether a part of a request has come, and nothing else is to be answered."""
+        return self._has_nothing_to_answer and self.reader.is_mid_request
+
+    @property
+    def _has_nothing_to_answer(self) -> bool:
+        return self.current is None and not self.waiting and not self.is_lingering
+
+    @property
+    def is_owed_answer(self) -> bool:
+        """Whether a request has been read whose answer is to be sent, and the client reads its answers."""
+        return self.current is not None or (bool(self.waiting) and not self.is_write_paused)
+
+    def has_disconnected(self) -> bool:
+        """Return whether the client has closed, or only its sending side, read by the loop or not."""
+        return self.transport is None or self.transport.is_closing() or has_peer_closed(self.transport)
+
+    # asyncio.Protocol
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register with the server, which may close it at once."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's do not inherit from it
+        self._owner.add(self)
+
+    def data_received(self, data: bytes) -> None:
+        """Read requests and serve the next one."""
+        if not self.reader.is_stopped:
+            self.last_activity = self._owner.loop.time()
+            self.reader.feed(data)
+            self._serve_next()
+
+    def pause_writing(self) -> None:
+        """Serve no further request until the client reads its answers, which would pile up in memory.
+
+        Requests are read all the same, up to a limit: else the client's close would go unnoticed.
+        """
+        self.is_write_paused = True
+
+    def resume_writing(self) -> None:
+        """Go on serving."""
+        self.is_write_paused = False
+        self._owner.loop.call_soon(self._serve_next)
+
+    def eof_received(self) -> bool:
+        """Drop what is owed now: the transport closes only when earlier answers are flushed."""
+        self._drop_requests()
+        return False
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Drop what is owed."""
+        del exc
+        self._owner.discard(self)
+        self._drop_requests()
+
+    def _drop_requests(self) -> None:
+        self.reader.stop()
+        self.waiting.clear()
+        pending, self._pending, self.current = self._pending, None, None
+        if pending is not None:
+            self._owner.proxy.ledger.client_disconnected(pending)
+
+    # RequestListener
+
+    def head_received(self, request: IncomingRequest) -> None:
+        """Ask for the body where the client waits for that, unless another request comes first."""
+        if self.current is None and not self.waiting and request.expects_continue:
+            self.write(b"HTTP/1.1 100 Continue\r\n\r\n")
+
+    def request_received(self, request: IncomingRequest) -> None:
+        """Queue a request."""
+        self.waiting.append(request)
+        if len(self.waiting) > PIPELINE_LIMIT or sum(ahead.size for ahead in self.waiting) > BODY_LIMIT:
+            self.reader.fail(HttpRequestError(503, "too many requests ahead of their turn"))
+
+    # Requests, one at a time
+
+    def reject_partial_request(self, rejection: HttpRequestError) -> None:
+        """Answer a request of which only a part has come, and then close."""
+        self.reader.fail(rejection)
+        self._serve_next()
+
+    def _serve_next(self) -> None:
+        while self.current is None and self.waiting and not self.is_write_paused:
+            incoming = self.current = self.waiting.popleft()
+            try:
+                self._serve(incoming)
+            except HttpRequestError as error:
+                self._answer(incoming, error.response)
+            except Exception as error:
+                log_event("request.failed", error=error)
+                self._answer(incoming, text_response(500, "internal error"))
+
+    def _serve(self, incoming: IncomingRequest) -> None:
+        owner = self._owner
+        if incoming.rejection is not None:
+            raise incoming.rejection
+        if incoming.target.partition(b"?")[0] == READINESS_PATH:
+            if not owner.proxy.is_ready or owner.draining:
+                raise HttpRequestError(503, "not ready")
+            self._answer(incoming, text_response(200, "ready"))
+            return
+        if self.is_over_limit:
+            raise HttpRequestError(503, "too many connections")
+        client_request = parse_request(incoming, owner.lookup, owner.loop.time())
+        pending = owner.proxy.accept(client_request, partial(self._answer, incoming), self.has_disconnected)
+        if pending is not None and not pending.is_closed:
+            self._pending = pending
+
+    def _answer(self, incoming: IncomingRequest, response: Response) -> None:
+        if incoming is not self.current:  # its client has gone, or it has been answered
+            return
+        # The connection is not closed while a request that has been read waits for its answer.
+        ends_here = (self.is_over_limit or self._owner.draining) and not self.waiting
+        close = not incoming.keep_alive or ends_here
+        self.current = self._pending = None
+        self.write(response.encode(close=close, without_body=incoming.method == b"HEAD"))
+        self.last_activity = self._owner.loop.time()
+        if close:
+            self._begin_lingering_close()
+        elif self.waiting:
+            self._owner.loop.call_soon(self._serve_next)
+
+    def write(self, data: bytes) -> None:
+        """Send bytes unless the connection is closing."""
+        if self.transport is not None and not self.transport.is_closing():
+            self.transport.write(data)
+
+    # Closing
+
+    def close_when_idle(self, turns: int = 2) -> None:
+        """Close after some turns of the loop, unless a request comes in them.
+
+        A request may wait in the socket: had the connection been closed over it, its client would have to
+        send it anew.
+        """
+        self.is_closing_when_idle = turns > 0
+        if turns > 0:
+            self._owner.loop.call_soon(self.close_when_idle, turns - 1)
+        elif self.is_idle:
+            if self.is_over_limit:
+                self.write(TOO_MANY_CONNECTIONS.encode(close=True))
+            self.close()
+
+    def close(self) -> None:
+        """Close once all that was written is sent."""
+        self.reader.stop()
+        if self.transport is not None:
+            self.transport.close()
+
+    def abort(self) -> None:
+        """Close at once."""
+        if self.transport is not None:
+            self.transport.abort()
+
+    def _begin_lingering_close(self) -> None:
+        self.reader.stop()
+        self.is_lingering = True
+        if self.transport is not None and not self.transport.is_closing():
+            self.lingering_close = LingeringClose(self._owner.loop, self.transport)
--- /dev/null
+++ b/load_balancer/gateway/client_request.py
@@ -0,0 +1,51 @@
+"""A client's request as the balancer and the endpoints need it."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+
+@dataclass(slots=True, frozen=True)
+class ClientRequest:
+    """A request that has been read and checked.
+
+    Attributes:
+        request_class: Index of its class in the settings.
+        timeout_us: How long the client waits for an answer.
+        waited_us: Time since its last byte was read.
+        headers: The end-to-end headers, encoded as lines.
+        key: Affinity key, if the target names one.
+        work_us: The client's estimate of the work, if it gave one.
+        is_retry: Whether the client has sent it before.
+        tenant: Index of its tenant in the settings.
+        is_write: Whether the client marks it as a write.
+    """
+
+    request_class: int
+    timeout_us: int
+    waited_us: int
+    method: bytes
+    target: bytes
+    headers: bytes
+    body: bytes
+    key: int | None = None
+    work_us: int | None = None
+    is_retry: bool = False
+    tenant: int = 0
+    is_write: bool = False
+
+    def encode(self, timeout_us: int) -> bytes:
+        """Return the bytes for an endpoint.
+
+        Args:
+            timeout_us: What the endpoint is told of the time left, rounded up to milliseconds.
+        """
+        has_length = self.body or self.method != b"GET"
+        return b"%b %b HTTP/1.1\r\n%bRequest-Timeout-Ms: %d\r\n%b\r\n%b" % (
+            self.method,
+            self.target,
+            self.headers,
+            -(-timeout_us // 1000),
+            b"Content-Length: %d\r\n" % len(self.body) if has_length else b"",
+            self.body,
+        )
--- /dev/null
+++ b/load_balancer/gateway/incoming_request.py
@@ -0,0 +1,149 @@
+"""Reading of requests from the bytes of one connection, within limits."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import Protocol
+
+import httptools
+
+from load_balancer.gateway.http_message import BODY_LIMIT, HEAD_LIMIT, Header, HttpRequestError
+
+
+@dataclass(slots=True)
+class IncomingRequest:
+    """A request as it is read.
+
+    Attributes:
+        received_at: Loop time of its last byte.
+        body: The parts of its content.
+        size: Bytes of the headers until the head is whole, then of the body.
+        keep_alive: Whether another request may follow on the connection.
+        rejection: What it is answered in its turn, whatever else it says.
+    """
+
+    received_at: float = 0.0
+    target: bytes = b""
+    method: bytes = b""
+    headers: list[Header] = field(default_factory=list)
+    body: list[bytes] = field(default_factory=list)
+    size: int = 0
+    keep_alive: bool = True
+    rejection: HttpRequestError | None = None
+
+    @property
+    def expects_continue(self) -> bool:
+        """Whether the client waits for an interim response before it sends the body."""
+        return any(
+            name.lower() == b"expect" and value.lower() == b"100-continue" for name, value in self.headers
+        )
+
+
+class RequestListener(Protocol):
+    """What a reader tells of."""
+
+    def head_received(self, request: IncomingRequest) -> None:
+        """The head of a request is whole."""
+
+    def request_received(self, request: IncomingRequest) -> None:
+        """A request is whole, or is to be answered as it is because its framing is lost."""
+
+
+class RequestReader:
+    """Parses the bytes of one connection.
+
+    Attributes:
+        is_stopped: Whether anything that still comes is ignored: the framing is lost, or there is to be no
+            further request.
+        is_mid_request: Whether the first byte of a request has come and its last has not.
+        has_read_request: Whether a whole request has come.
+        began_at: Loop time at which the current request began: for the first one that of connecting, for
+            later ones that of their first byte.
+    """
+
+    def __init__(self, listener: RequestListener, now: Callable[[], float]) -> None:
+        self.is_stopped = False
+        self.is_mid_request = False
+        self.has_read_request = False
+        self.began_at = now()
+        self._listener = listener
+        self._now = now
+        self._parser = httptools.HttpRequestParser(self)
+        self._request = IncomingRequest()
+        self._head_bytes: int | None = None  # of a head that has not ended
+
+    def feed(self, data: bytes) -> None:
+        """Read a part of what the client sends."""
+        if self._head_bytes is None and not self.is_mid_request:
+            self._head_bytes = 0
+        if self._head_bytes is not None:
+            self._head_bytes += len(data)
+        try:
+            self._parser.feed_data(data)
+        except httptools.HttpParserUpgrade:
+            self.stop()  # the request stands; what follows it is not HTTP
+        except httptools.HttpParserError:
+            self.fail(HttpRequestError(400, "malformed request"))
+        if self._head_bytes is not None and self._head_bytes > HEAD_LIMIT:
+            self.fail(HttpRequestError(431, "head too long"))
+
+    def stop(self) -> None:
+        """Ignore whatever still comes."""
+        self.is_stopped = True
+
+    def fail(self, rejection: HttpRequestError) -> None:
+        """Answer the current request in its turn and read no other: where that begins is unknown."""
+        if not self.is_stopped:
+            self.stop()
+            self._listener.request_received(IncomingRequest(keep_alive=False, rejection=rejection))
+
+    # Callbacks of the parser
+
+    def on_message_begin(self) -> None:
+        """Begin a request."""
+        self._request = IncomingRequest()
+        self.is_mid_request = True
+        if self.has_read_request:
+            self.began_at = self._now()
+
+    def on_url(self, url: bytes) -> None:
+        """Add a part of the target."""
+        self._request.target += url
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Add a header; trailers are ignored, since they say nothing about what is asked."""
+        if self._head_bytes is not None:
+            self._request.headers.append((name, value))
+            self._request.size += len(name) + len(value) + 4  # the colon, a space and the line's end
+
+    def on_headers_complete(self) -> None:
+        """End the head."""
+        request = self._request
+        if request.size + len(request.target) > HEAD_LIMIT:
+            self.fail(HttpRequestError(431, "head too long"))
+        self._head_bytes = None
+        request.size = 0
+        request.method = self._parser.get_method()
+        self._listener.head_received(request)
+
+    def on_body(self, body: bytes) -> None:
+        """Add a part of the body."""
+        self._request.size += len(body)
+        if self._request.size > BODY_LIMIT:
+            self.fail(HttpRequestError(413, f"body over {BODY_LIMIT} bytes"))
+        elif not self.is_stopped:
+            self._request.body.append(body)
+
+    def on_message_complete(self) -> None:
+        """End the request."""
+        self.is_mid_request = False
+        self.has_read_request = True
+        self._head_bytes = 0
+        if self.is_stopped:
+            return
+        self._request.received_at = self._now()
+        self._request.keep_alive = self._parser.should_keep_alive()
+        if not self._request.keep_alive:
+            self.stop()
+        self._listener.request_received(self._request)
--- /dev/null
+++ b/load_balancer/gateway/lingering_close.py
@@ -0,0 +1,31 @@
+"""The end of a connection on which the client may still be sending."""
+
+from __future__ import annotations
+
+import asyncio
+
+LINGER_S = 1.0
+
+
+class LingeringClose:
+    """Closes the sending side, and the connection itself a while later.
+
+    What the client still sends is read and dropped until then. Closing over unread bytes would send a reset,
+    which can overtake the last answer.
+    """
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, transport: asyncio.Transport) -> None:
+        self._loop = loop
+        self._transport = transport
+        transport.write_eof()
+        self._wait()
+
+    def _wait(self) -> None:
+        self._loop.call_later(LINGER_S, self.close_if_sent)
+
+    def close_if_sent(self) -> None:
+        """Close, unless the client has yet to take in the answer itself."""
+        if self._transport.get_write_buffer_size() > 0:
+            self._wait()
+        else:
+            self._transport.abort()
--- /dev/null
+++ b/load_balancer/gateway/log_fields.py
@@ -0,0 +1,74 @@
+"""What is logged of events, actions and requests: names in place of the balancer's numbers."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable, Mapping
+
+from load_balancer.config.file import NameTable
+from load_balancer.decisions.settings_version import SettingsVersion
+from load_balancer.gateway.request_ledger import PendingRequest
+
+
+class LogFields:
+    """Makes the fields of log events.
+
+    Attributes:
+        names: Of the settings in force.
+    """
+
+    def __init__(
+        self,
+        names: NameTable,
+        settings_version: Callable[[], SettingsVersion],
+        authority: Callable[[int], bytes],
+    ) -> None:
+        """Create it.
+
+        Args:
+            names: Of the settings in force.
+            settings_version: Returns the version in force.
+            authority: Returns the address of an endpoint by its id, or nothing.
+        """
+        self.names = names
+        self._settings_version = settings_version
+        self._authority = authority
+
+    def resolve(self, fields: Iterable[tuple[str, object]]) -> dict[str, object]:
+        """Return the fields with names of class and tenant for their numbers, and an endpoint's address."""
+        resolved = dict(fields)
+        version, names = self._settings_version(), self.names
+        tables = (("klass", version.class_ids, names.classes), ("tenant", version.tenant_ids, names.tenants))
+        for name, known, texts in tables:
+            number = resolved.get(name)
+            if isinstance(number, int) and texts and number in known:
+                resolved[name] = texts[known.index(number)]
+            elif not texts:  # a deployment without tenants
+                resolved.pop(name, None)
+        endpoint_id = resolved.get("server")
+        if isinstance(endpoint_id, int) and (address := self._authority(endpoint_id)):
+            resolved["address"] = address.decode()
+        return resolved
+
+    def of_request(self, request: PendingRequest) -> dict[str, object]:
+        """Return the fields of a request."""
+        return self.resolve(_request_fields(request.id, request).items())
+
+    def of_subject(self, subject: object, pending: Mapping[str, PendingRequest]) -> dict[str, object]:
+        """Return the fields of what an event or an action is about, as far as they are known."""
+        request_id = getattr(subject, "request_id", None)
+        request = pending.get(request_id) if request_id is not None else None
+        fields = {"request": request_id, "server": getattr(subject, "endpoint_id", None)}
+        fields |= _request_fields(request_id, request) if request is not None else {}
+        return self.resolve((name, value) for name, value in fields.items() if value is not None)
+
+
+def _request_fields(request_id: object, request: PendingRequest) -> dict[str, object]:
+    names, client_request = request.names, request.client_request
+    fields: dict[str, object] = {
+        "request": request_id,
+        "klass": names.classes[client_request.request_class],
+        "generation": request.settings_version.number,
+    }
+    if names.tenants:
+        fields["tenant"] = names.tenants[client_request.tenant]
+    return fields
--- /dev/null
+++ b/load_balancer/gateway/peers.py
@@ -0,0 +1,61 @@
+"""Messages between the gateways of a fleet, one UDP datagram each."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from load_balancer.config.file import Address
+from load_balancer.errors import LoadBalancerError
+
+PEER_MESSAGE_LIMIT = 256  # bytes
+
+
+class PeerMessageError(LoadBalancerError, ValueError):
+    """A message that may not be sent to another gateway."""
+
+
+class PeerChannel(asyncio.DatagramProtocol):
+    """The socket for messages to and from other gateways.
+
+    Attributes:
+        transport: None until it is open.
+    """
+
+    def __init__(self, received: Callable[[bytes, Address], None]) -> None:
+        """Create a channel that is not open.
+
+        Args:
+            received: Called with each message that is not too long, and its sender.
+        """
+        self.transport: asyncio.DatagramTransport | None = None
+        self._received = received
+
+    async def open(self, loop: asyncio.AbstractEventLoop, listen: Address) -> None:
+        """Begin to receive messages at an address.
+
+        Raises:
+            OSError: If the address cannot be used.
+        """
+        self.transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=listen)
+
+    def send(self, data: bytes, to: Address | None) -> None:
+        """Send a message, if the channel is open and there is anybody to send it to.
+
+        Raises:
+            PeerMessageError: If it is too long.
+        """
+        if len(data) > PEER_MESSAGE_LIMIT:
+            raise PeerMessageError(f"a message of {len(data)} bytes is too long")
+        if self.transport is not None and to is not None:
+            self.transport.sendto(data, to)
+
+    def close(self) -> None:
+        """Close the socket."""
+        if self.transport is not None:
+            self.transport.close()
+
+    def datagram_received(self, data: bytes, addr: Address) -> None:
+        """Pass on a message unless it is too long."""
+        if len(data) <= PEER_MESSAGE_LIMIT:
+            self._received(data, addr)
--- a/load_balancer/gateway/reload.py
+++ b/load_balancer/gateway/reload.py
@@ -11,9 +11,10 @@
 
 from load_balancer.config.file import Config, ConfigError, read_steps
 from load_balancer.decisions.settings_version import next_version
-from load_balancer.gateway.client_server import ClientServer, lookup_steps
+from load_balancer.gateway.client_server import ClientServer
 from load_balancer.gateway.event_log import log_event
 from load_balancer.gateway.proxy import Proxy
+from load_balancer.gateway.request_parsing import lookup_steps
 
 T = TypeVar("T")
 
@@ -70,7 +71,7 @@
                 try:
                     await self.take_over()
                 except ConfigError as error:
-                    log_event("config.kept", error=error, generation=self.proxy.generation.number)
+                    log_event("config.kept", error=error, generation=self.proxy.settings_version.number)
                 finally:
                     gc.enable()  # what is left over is garbage by its reference count
                 trim_heap()
@@ -85,14 +86,14 @@
                 raise ConfigError(
                     f"{path} differs: expected {of(before)}, which only a new process can change"
                 )
-        number = self.proxy.generation.number
+        number = self.proxy.settings_version.number
         if config.content == before.content:
             log_event("config.same", generation=number, content=config.content[:12])
         else:
-            generation = await run_cooperatively(next_version(self.proxy.generation, config.settings))
+            generation = await run_cooperatively(next_version(self.proxy.settings_version, config.settings))
             lookup = await run_cooperatively(lookup_steps(config, self.downstream.lookup))
             # In one turn of the loop: a request is taken by the names and the settings of one generation.
-            self.proxy.take_over(config, generation)
+            self.proxy.apply_settings(config, generation)
             self.downstream.lookup = lookup
             log_event("config.taken_over", generation=generation.number, content=config.content[:12])
         self.config = config
--- /dev/null
+++ b/load_balancer/gateway/request_ledger.py
@@ -0,0 +1,211 @@
+"""The requests that have been accepted: one final answer for each, after which it is forgotten."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+from load_balancer.config.file import NameTable
+from load_balancer.decisions.events import ClientDisconnected, Event, RequestArrived
+from load_balancer.decisions.settings_version import SettingsVersion
+from load_balancer.gateway.client_request import ClientRequest
+from load_balancer.gateway.clock import Clock
+from load_balancer.gateway.event_log import log_event
+from load_balancer.gateway.http_message import Response, text_response
+from load_balancer.gateway.upstream_attempt import UpstreamAttempt
+
+# Taken off the client's timeout: the request was on its way before it came here, and the answer will be.
+TRANSIT_US = 4_000
+# After the balancer's own deadline and before the client's, for a request that nothing else has answered.
+LAST_RESORT_DELAY_US = 2_000
+
+AnswerCallback = Callable[[Response], None]
+
+
+@dataclass(slots=True, eq=False)
+class PendingRequest:
+    """A request that is owed an answer, or whose attempts have not all ended.
+
+    Attributes:
+        id: Unique for the lifetime of the process.
+        settings_version: What was in force as it came; holds until it is forgotten.
+        names: The names of that version.
+        remaining_timeout_us: Until its deadline, as it came.
+        deadline_us: Reading of the clock at which its client gives it up, less the time for transit.
+        send_answer: None once it has had its final answer or its client has gone.
+        has_disconnected: Whether its client's connection has ended, read by the loop or not.
+        last_resort: The timer that answers it if nothing else does.
+        attempts: By number; None for one that was never started.
+        attempts_in_flight: Attempts whose outcome is not known yet.
+    """
+
+    id: str
+    client_request: ClientRequest
+    settings_version: SettingsVersion
+    names: NameTable
+    remaining_timeout_us: int
+    deadline_us: int
+    send_answer: AnswerCallback | None
+    has_disconnected: Callable[[], bool]
+    last_resort: asyncio.TimerHandle | None = None
+    attempts: list[UpstreamAttempt | None] = field(default_factory=list)
+    attempts_in_flight: int = 0
+
+    @property
+    def is_closed(self) -> bool:
+        """Whether no answer is owed any more."""
+        return self.send_answer is None
+
+    def arrival(self) -> RequestArrived:
+        """Return the event that tells the balancer of it."""
+        client_request = self.client_request
+        return RequestArrived(
+            self.id,
+            client_request.request_class,
+            self.remaining_timeout_us,
+            client_request.key,
+            client_request.work_us,
+            client_request.is_retry,
+            client_request.tenant,
+            client_request.is_write,
+        )
+
+
+class RequestLedger:
+    """Keeps account of the answers that are owed.
+
+    Attributes:
+        pending: Requests by their id.
+        unanswered: How many of them are owed an answer.
+        accepted: How many there have been.
+    """
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        clock: Clock,
+        dispatch: Callable[[Event], None],
+        log_fields: Callable[[PendingRequest], dict[str, object]],
+    ) -> None:
+        """Create an empty ledger.
+
+        Args:
+            loop: Runs the timers of last resort.
+            clock: What deadlines are readings of.
+            dispatch: Takes the events that end requests.
+            log_fields: What is logged of a request.
+        """
+        self.pending: dict[str, PendingRequest] = {}
+        self.unanswered = 0
+        self.accepted = 0
+        self._loop = loop
+        self._clock = clock
+        self._dispatch = dispatch
+        self._log_fields = log_fields
+
+    def accept(
+        self,
+        client_request: ClientRequest,
+        settings_version: SettingsVersion,
+        names: NameTable,
+        send_answer: AnswerCallback,
+        has_disconnected: Callable[[], bool],
+    ) -> PendingRequest:
+        """Add a request.
+
+        Args:
+            client_request: What is asked.
+            settings_version: What is in force.
+            names: The names of that version.
+            send_answer: Called exactly once, unless `client_disconnected` is called first.
+            has_disconnected: Whether the client's connection has ended, read by the loop or not.
+        """
+        self.accepted += 1
+        remaining_us = max(0, client_request.timeout_us - client_request.waited_us - TRANSIT_US)
+        request = PendingRequest(
+            str(self.accepted),
+            client_request,
+            settings_version,
+            names,
+            remaining_us,
+            self._clock.now_us() + remaining_us,
+            send_answer,
+            has_disconnected,
+        )
+        self.pending[request.id] = request
+        self.unanswered += 1
+        delay_s = (remaining_us + LAST_RESORT_DELAY_US) / 1e6
+        # A turn of the loop later: where an attempt's time-out comes due in the same turn, it is reported
+        # first and the balancer answers.
+        request.last_resort = self._loop.call_later(
+            delay_s, self._loop.call_soon, self.answer_at_last_resort, request
+        )
+        return request
+
+    def get(self, request_id: str | None) -> PendingRequest | None:
+        """Return a request that has not been forgotten."""
+        return self.pending.get(request_id) if request_id is not None else None
+
+    def is_wanted(self, request: PendingRequest) -> bool:
+        """Return whether the client still waits, asked before each attempt is written.
+
+        The client's socket itself is asked: a turn of the loop may take long, as for a list of thousands of
+        endpoints, and timers and responses may be handled in it before the client's close is read.
+        """
+        if not request.is_closed and request.has_disconnected():
+            self.client_disconnected(request)
+        return not request.is_closed
+
+    def client_disconnected(self, request: PendingRequest) -> None:
+        """Close the account of a request whose client has gone."""
+        if not request.is_closed:
+            self._close_account(request)
+            self._dispatch(ClientDisconnected(request.id))
+            self.forget_if_over(request)
+
+    def answer(self, request: PendingRequest, response: Response) -> None:
+        """Send the final answer, if it is still owed."""
+        send_answer = request.send_answer
+        if send_answer is not None:
+            self._close_account(request)
+            send_answer(response)
+
+    def answer_by_id(self, request_id: str, response: Response) -> None:
+        """Send the final answer to a request, if it is known and the answer still owed."""
+        request = self.pending.get(request_id)
+        if request is not None:
+            self.answer(request, response)
+            self.forget_if_over(request)
+
+    def answer_internal_error(self, request_id: str | None) -> None:
+        """Answer a request that an exception concerns, and have the balancer drop it."""
+        request = self.get(request_id)
+        if request is not None:
+            self._answer_and_drop(request, text_response(500, "internal error"))
+
+    def answer_at_last_resort(self, request: PendingRequest) -> None:
+        """Answer a request that nothing else has answered when its client is about to give up."""
+        if not request.is_closed:
+            log_event("request.unanswered", **self._log_fields(request))
+            self._answer_and_drop(request, text_response(504, "out of time"))
+
+    def forget_if_over(self, request: PendingRequest) -> None:
+        """Forget a request that is owed no answer and has no attempt in flight."""
+        if request.is_closed and request.attempts_in_flight == 0:
+            self.pending.pop(request.id, None)
+
+    def _answer_and_drop(self, request: PendingRequest, response: Response) -> None:
+        if not request.is_closed:
+            self.answer(request, response)
+            self._dispatch(ClientDisconnected(request.id))
+            self.forget_if_over(request)
+
+    def _close_account(self, request: PendingRequest) -> None:
+        request.send_answer = None
+        self.unanswered -= 1
+        if request.last_resort is not None:
+            request.last_resort.cancel()
+        for attempt in request.attempts:
+            if attempt is not None:
+                attempt.abandon_unless_written()
--- /dev/null
+++ b/load_balancer/gateway/upstream_attempt.py
@@ -0,0 +1,88 @@
+"""One request on one connection to an endpoint: a client's attempt or a health check."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from typing import Protocol
+
+from load_balancer.decisions.events import Outcome
+from load_balancer.gateway.http_message import Response
+
+AttemptCallback = Callable[[Outcome, Response | None], None]
+
+
+class Abortable(Protocol):
+    """A connection that can be closed at once."""
+
+    def abort(self) -> None:
+        """Close without waiting for anything."""
+
+
+class UpstreamAttempt:
+    """A request to one endpoint, with exactly one outcome.
+
+    Attributes:
+        payload: The request's bytes.
+        is_wanted: Whether it should still be sent; asked when a connection that took time has come up.
+        connection: What it is sent on, once that is known.
+        timer: Ends it with a time-out.
+        written: Whether its last byte has left the process, so that it may have run.
+        done: Whether its outcome is decided.
+    """
+
+    __slots__ = ("_loop", "_on_end", "connection", "done", "is_wanted", "payload", "timer", "written")
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        payload: bytes,
+        on_end: AttemptCallback,
+        is_wanted: Callable[[], bool],
+    ) -> None:
+        self.payload = payload
+        self.is_wanted = is_wanted
+        self._loop = loop
+        self._on_end = on_end
+        self.connection: Abortable | None = None
+        self.timer: asyncio.TimerHandle | None = None
+        self.written = False
+        self.done = False
+
+    def response_received(self, response: Response) -> None:
+        """End with a response."""
+        if self._finish():
+            self._on_end(response.outcome(), response)
+
+    def connection_lost(self) -> None:
+        """End without a response: the connection has gone, or what came on it was not HTTP."""
+        self._end_without_response(Outcome.RESET if self.written else Outcome.CONNECT_FAILED)
+
+    def abandon(self, outcome: Outcome) -> None:
+        """Stop waiting; the endpoint notices by the close of its connection."""
+        if self.done:
+            return
+        if self.connection is not None:
+            self.connection.abort()
+        timed_out_unsent = not self.written and outcome is Outcome.TIMEOUT
+        self._end_without_response(Outcome.CONNECT_FAILED if timed_out_unsent else outcome)
+
+    def abandon_unless_written(self) -> None:
+        """Never send what has not been sent, also where cancelling is not allowed: its request is over."""
+        if not self.written:
+            self.abandon(Outcome.NOT_SENT)
+
+    def _end_without_response(self, outcome: Outcome) -> None:
+        # An abort closes the connection in the loop's next turn. The outcome is reported after that: another
+        # attempt may be written at once, and the endpoints would hold two copies of the request.
+        if self._finish():
+            self._loop.call_soon(self._on_end, outcome, None)
+
+    def _finish(self) -> bool:
+        """Mark as done; return False if it was done before."""
+        if self.done:
+            return False
+        self.done = True
+        if self.timer is not None:
+            self.timer.cancel()
+        return True
--- /dev/null
+++ b/load_balancer/gateway/upstream_connection.py
@@ -0,0 +1,203 @@
+"""One connection to an endpoint and the parsing of the responses on it."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Protocol, cast
+
+import httptools
+
+from load_balancer.config.file import Address
+from load_balancer.gateway.http_message import BODY_LIMIT, HEAD_LIMIT, HttpResponseError, Response
+from load_balancer.gateway.socket_state import has_input
+from load_balancer.gateway.upstream_attempt import UpstreamAttempt
+
+# Bytes of all responses to one request: interim responses and the framing of chunks come on top of the body.
+RESPONSE_LIMIT = 4 * (HEAD_LIMIT + BODY_LIMIT)
+
+
+class ConnectionOwner(Protocol):
+    """The pool that a connection belongs to."""
+
+    def release(self, connection: UpstreamConnection) -> None:
+        """Take back a connection that may carry another request."""
+
+    def discard(self, connection: UpstreamConnection) -> None:
+        """Forget a connection that is closed or is closing."""
+
+
+class UpstreamConnection(asyncio.Protocol):
+    """A connection to an endpoint; carries one attempt at a time.
+
+    Attributes:
+        owner: The pool that it belongs to.
+        attempt: What it carries, also while it is coming up.
+        transport: None until it is up.
+        idle_since: Loop time of the end of its last attempt.
+    """
+
+    def __init__(self, owner: ConnectionOwner, attempt: UpstreamAttempt) -> None:
+        self.owner = owner
+        self.attempt: UpstreamAttempt | None = attempt
+        self.transport: asyncio.Transport | None = None
+        self.idle_since = 0.0
+        self._connecting: asyncio.Task[None] | None = None
+        self._response = Response()
+        self._received_bytes = 0  # since the request
+        self._size = 0  # of the head, then of the body
+        self._chunks: list[bytes] = []
+        self._complete = False
+        self._keep_alive = False
+        self._parser = httptools.HttpResponseParser(self)
+
+    @property
+    def is_unused(self) -> bool:
+        """Whether nothing has been written on it: it is idle or still coming up."""
+        return self.attempt is None or self.transport is None
+
+    def is_quiet(self) -> bool:
+        """Return whether it is open and holds no unread bytes and no unread close of the endpoint."""
+        if self.transport is None or self.transport.is_closing():
+            return False
+        return not has_input(self.transport)
+
+    # Opening and closing
+
+    def connect(
+        self, loop: asyncio.AbstractEventLoop, attempt: UpstreamAttempt, address: Address, timeout_s: float
+    ) -> None:
+        """Begin to connect; the attempt is written once the connection is up."""
+        self._connecting = loop.create_task(self._connect(loop, attempt, address, timeout_s))
+
+    async def _connect(
+        self, loop: asyncio.AbstractEventLoop, attempt: UpstreamAttempt, address: Address, timeout_s: float
+    ) -> None:
+        try:
+            async with asyncio.timeout(timeout_s):
+                await loop.create_connection(lambda: self, *address)
+        except (OSError, TimeoutError, ValueError):  # ValueError comes of a malformed host name
+            self.owner.discard(self)
+            attempt.connection_lost()
+        finally:
+            self._connecting = None
+
+    def abort(self) -> None:
+        """Close at once; the attempt on it is not notified."""
+        self.attempt = None
+        self.owner.discard(self)
+        if self._connecting is not None:
+            self._connecting.cancel()
+        if self.transport is not None:
+            self.transport.abort()
+
+    def fail(self) -> None:
+        """Close at once and end the attempt on it as if the connection had broken."""
+        attempt = self.attempt
+        self.abort()
+        if attempt is not None:
+            attempt.connection_lost()
+
+    # asyncio.Protocol
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Write the attempt that waited for the connection, if it is still wanted."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's do not inherit from it
+        # With no room in the buffer, pause_writing and resume_writing say exactly when bytes are held back.
+        self.transport.set_write_buffer_limits(high=0)
+        attempt = self.attempt
+        if attempt is None or attempt.done or not attempt.is_wanted():
+            self.abort()
+        else:
+            self.write(attempt)
+
+    def write(self, attempt: UpstreamAttempt) -> None:
+        """Send an attempt on a connection that is up and carries no other."""
+        transport = self.transport
+        assert transport is not None
+        self.attempt = attempt
+        self._received_bytes = 0
+        attempt.connection = self
+        attempt.written = True  # unless pause_writing is called from within write
+        transport.write(attempt.payload)
+        if transport.is_closing():  # the write itself met a broken connection
+            attempt.written = False
+
+    def pause_writing(self) -> None:
+        """A part of the request is held back in the process."""
+        if self.attempt is not None:
+            self.attempt.written = False
+
+    def resume_writing(self) -> None:
+        """All of the request has left the process."""
+        if self.attempt is not None:
+            self.attempt.written = True
+
+    def data_received(self, data: bytes) -> None:
+        """Parse a part of a response."""
+        if self.attempt is None:  # no request was sent
+            self.abort()
+            return
+        self._received_bytes += len(data)
+        try:
+            self._parser.feed_data(data)
+        except httptools.HttpParserError:
+            self.fail()
+            return
+        if self._complete:
+            self._end_attempt()
+        elif self._received_bytes > RESPONSE_LIMIT:
+            self.fail()
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """End the attempt, if there is one."""
+        del exc
+        self.owner.discard(self)
+        if self.attempt is not None:
+            self.attempt.connection_lost()
+
+    def _end_attempt(self) -> None:
+        """Pass the response on, now that the parser has read all there was."""
+        attempt, response = self.attempt, self._response
+        assert attempt is not None
+        response.status = self._parser.get_status_code()
+        response.body = b"".join(self._chunks)
+        self.attempt, self._complete = None, False
+        if attempt.written and self._keep_alive:
+            self.owner.release(self)
+        else:
+            self.abort()
+        attempt.response_received(response)
+
+    # Callbacks of the parser, which turns their exceptions into an HttpParserError
+
+    def on_message_begin(self) -> None:
+        """Begin a response."""
+        if self._complete:
+            raise HttpResponseError("a second response to one request")
+        self._response, self._chunks, self._size = Response(), [], 0
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Add a header."""
+        self._response.headers.append((name.lower(), value))
+        self._size += len(name) + len(value)
+        if self._size > HEAD_LIMIT:
+            raise HttpResponseError("head too long")
+
+    def on_headers_complete(self) -> None:
+        """Begin to count the body."""
+        self._size = 0
+
+    def on_body(self, body: bytes) -> None:
+        """Add a part of the body."""
+        self._chunks.append(body)
+        self._size += len(body)
+        if self._size > BODY_LIMIT:
+            raise HttpResponseError("body too long")
+
+    def on_message_complete(self) -> None:
+        """Note whether this was the final response, and whether the connection may be used again.
+
+        The parser knows how the message was framed only within this callback.
+        """
+        self._complete = self._parser.get_status_code() >= 200  # the final response follows an interim one
+        self._keep_alive = self._parser.should_keep_alive()
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -17,7 +17,8 @@
 from load_balancer.config.file import parse_config
 from load_balancer.decisions.actions import Action
 from load_balancer.decisions.events import Event
-from load_balancer.gateway.client_server import ClientConnection, ClientServer
+from load_balancer.gateway.client_connection import ClientConnection
+from load_balancer.gateway.client_server import ClientServer
 from load_balancer.gateway.proxy import Proxy
 
 PATIENCE_S = 30.0  # no test waits for this long unless it fails
@@ -314,7 +315,7 @@
     config = parse_config(configuration(known, registry.address, **changed))
     loop = asyncio.get_running_loop()
     proxy = Proxy(config, loop)
-    proxy.upstream.rest_s = rest_s
+    proxy.upstream.timing.reuse_delay_s = rest_s
     downstream = ClientServer(config, proxy, loop)
     it = Gateway(proxy, downstream, host, registry)
     it.watch_events()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -21,12 +21,11 @@
     Outcome,
     RequestArrived,
 )
-from load_balancer.gateway import client_server as downstream
-from load_balancer.gateway import upstream_pool as upstream
-from load_balancer.gateway.client_server import BODY_LIMIT
+from load_balancer.gateway import client_server, lingering_close, upstream_pool
 from load_balancer.gateway.discovery import endpoint_id_of
-from load_balancer.gateway.proxy import LAST_RESORT_US, Request
-from load_balancer.gateway.upstream_pool import Response, UpstreamConnection
+from load_balancer.gateway.http_message import BODY_LIMIT, Response
+from load_balancer.gateway.request_ledger import LAST_RESORT_DELAY_US, PendingRequest
+from load_balancer.gateway.upstream_connection import UpstreamConnection
 from tests.sockets import (
     PATIENCE_S,
     Gateway,
@@ -89,13 +88,13 @@
             monkeypatch.setattr(UpstreamConnection, "write", noting)
             client.send(ask())
             taken = await it.host.taken.get()
-            (request,) = it.proxy.requests.values()
+            (request,) = it.proxy.ledger.pending.values()
             (exchange,) = request.attempts
             assert exchange is not None
             if ending == "cancelled":
-                it.proxy.carry_out(Cancel(request.id, 0))
+                it.proxy.execute(Cancel(request.id, 0))
             elif ending == "timed out":
-                exchange.give_up(Outcome.TIMEOUT)
+                exchange.abandon(Outcome.TIMEOUT)
             else:
                 taken.raw(b"no HTTP at all\r\n\r\n")
             (await it.host.taken.get()).answer()
@@ -140,7 +139,7 @@
             assert taken.head["request-id"] == "stayed"
             taken.answer()
             assert (await good.answer())[0] == 200
-            assert not it.proxy.requests and it.proxy.open == 0
+            assert not it.proxy.ledger.pending and it.proxy.ledger.unanswered == 0
 
     run(test())
 
@@ -157,21 +156,21 @@
             client = await it.client()
             client.send(ask("buy"))
             await it.event(RequestArrived)
-            (request,) = it.proxy.requests.values()
-            it.proxy.answer_at_last(request)
+            (request,) = it.proxy.ledger.pending.values()
+            it.proxy.ledger.answer_at_last_resort(request)
             assert (await client.answer())[0] == 504
             free.set()
             assert (await it.event(AttemptEnded)).finished
             await it.served(client, ask(Request_Id="next"))
-            assert it.host.taken.empty() and not it.proxy.requests
+            assert it.host.taken.empty() and not it.proxy.ledger.pending
 
     run(test())
 
 
 def stop_clock(it: Gateway) -> list[float]:
     """The pool's clock stands still at the one time in the list."""
-    clock = [it.proxy.upstream.now()]
-    it.proxy.upstream.now = lambda: clock[0]
+    clock = [it.proxy.upstream.timing.now()]
+    it.proxy.upstream.timing.now = lambda: clock[0]
     return clock
 
 
@@ -179,7 +178,7 @@
     """A connection was used again at once, so that what came milliseconds late answered another request."""
 
     async def test() -> None:
-        async with gateway(rest_s=upstream.REST_S) as it:
+        async with gateway(rest_s=upstream_pool.REUSE_DELAY_S) as it:
             clock = stop_clock(it)
             client = await it.client()
             client.send(ask())
@@ -193,7 +192,7 @@
             await it.host.left.get()
             second.answer(body=b"its own")
             assert (await client.answer())[2] == b"its own"
-            clock[0] += upstream.REST_S
+            clock[0] += upstream_pool.REUSE_DELAY_S
             client.send(ask())
             third = await it.host.taken.get()
             assert third.writer is second.writer
@@ -338,7 +337,7 @@
             client.writer.write_eof()
             await it.event(ClientDisconnected)
             assert (await it.event(AttemptEnded, lambda e: e.request_id == "2")).outcome is Outcome.CANCELLED
-            assert not it.proxy.requests
+            assert not it.proxy.ledger.pending
 
     run(test())
 
@@ -354,7 +353,7 @@
             taken.answer()
             await it.host.left.get()
             await it.served(await it.client(), ask(Request_Id="stayed"))
-            assert it.host.taken.empty() and it.proxy.taken == 2
+            assert it.host.taken.empty() and it.proxy.ledger.accepted == 2
 
     run(test())
 
@@ -363,7 +362,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Closed at once, the connection was reset by what came then, which can overtake the answer."""
-    monkeypatch.setattr(downstream, "LINGER_S", 2 * PATIENCE_S)
+    monkeypatch.setattr(lingering_close, "LINGER_S", 2 * PATIENCE_S)
 
     async def test() -> None:
         async with gateway() as it:
@@ -381,7 +380,7 @@
 
 @pytest.mark.parametrize("reads", [True, False])
 def test_a_linger_ends_once_the_answer_is_read(reads: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(downstream, "LINGER_S", 0.01)
+    monkeypatch.setattr(lingering_close, "LINGER_S", 0.01)
 
     async def test() -> None:
         async with gateway() as it:
@@ -392,8 +391,10 @@
             taken.answer(body=bytes(BODY_LIMIT))
             await it.event(AttemptEnded)
             assert connection.transport is not None and connection.transport.get_write_buffer_size() > 0
+            lingering = connection.lingering_close
+            assert lingering is not None
             for _ in range(5):
-                connection.end_linger()
+                lingering.close_if_sent()
             assert not connection.transport.is_closing()
             if reads:
                 client.writer.transport.resume_reading()  # type: ignore[attr-defined]
@@ -413,12 +414,12 @@
             client = await it.client()
             await it.served(client)
             (connection,) = it.downstream.connections
-            connection.quiet_since -= 2 * downstream.IDLE_S
+            connection.last_activity -= 2 * client_server.IDLE_TIMEOUT_S
             send_now(client.writer, ask())
             it.downstream.sweep()
             (await it.host.taken.get()).answer()
             assert (await client.answer())[0] == 200
-            connection.quiet_since -= 2 * downstream.IDLE_S
+            connection.last_activity -= 2 * client_server.IDLE_TIMEOUT_S
             it.downstream.sweep()
             assert await client.closed()
 
@@ -427,8 +428,8 @@
 
 def test_no_end_of_a_drain_closes_over_a_request_whose_turn_has_come(monkeypatch: pytest.MonkeyPatch) -> None:
     """Between the answer to one and the taking up of the next it looked as if nothing was owed."""
-    monkeypatch.setattr(downstream, "FINISH_POLL_S", 0.0)
-    monkeypatch.setattr(downstream, "HALF_SENT_DRAIN_S", -1.0)
+    monkeypatch.setattr(client_server, "SHUTDOWN_POLL_S", 0.0)
+    monkeypatch.setattr(client_server, "PARTIAL_REQUEST_GRACE_S", -1.0)
 
     async def test() -> None:
         async with gateway() as it:
@@ -436,7 +437,7 @@
             client.send(ask() + ask())
             taken = await it.host.taken.get()
             it.downstream.draining = True
-            finish = asyncio.create_task(it.downstream.finish())
+            finish = asyncio.create_task(it.downstream.close_connections())
             await asyncio.sleep(0)
             taken.answer()
             assert (await client.answer())[0] == 200
@@ -452,15 +453,15 @@
 
 def test_a_request_half_sent_at_the_end_of_a_drain_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
     """It was closed upon, whether or not its last byte had come, and only after more than the rules give."""
-    monkeypatch.setattr(downstream, "HALF_SENT_DRAIN_S", -1.0)
+    monkeypatch.setattr(client_server, "PARTIAL_REQUEST_GRACE_S", -1.0)
 
     async def test() -> None:
         async with gateway() as it:
             client = await it.client()
             client.send(ask("buy", body=b"12", Content_Length="3"))
-            await until(lambda: any(c.reading for c in it.downstream.connections))
+            await until(lambda: any(c.reader.is_mid_request for c in it.downstream.connections))
             it.downstream.draining = True
-            finish = asyncio.create_task(it.downstream.finish())
+            finish = asyncio.create_task(it.downstream.close_connections())
             status, head, _ = await client.answer()
             assert status == 503 and head["connection"] == "close"
             client.send(b"3")
@@ -480,11 +481,11 @@
             peer = await it.client()
             await until(lambda: bool(it.downstream.connections))
             (connection,) = it.downstream.connections
-            connection.began_at -= downstream.FIRST_REQUEST_S + 0.1
+            connection.reader.began_at -= client_server.FIRST_REQUEST_TIMEOUT_S + 0.1
             peer.send(b"GET /look HTT")
-            await until(lambda: connection.reading)
+            await until(lambda: connection.reader.is_mid_request)
             it.downstream.sweep()
-            assert connection.closing
+            assert connection.reader.is_stopped
             assert (await peer.answer())[0] == 408
             assert await peer.closed()
 
@@ -499,10 +500,10 @@
             client = await it.client()
             await it.served(client)
             (connection,) = it.downstream.connections
-            quiet_since, connection.quiet_since = connection.quiet_since, 0.0
+            last_activity, connection.last_activity = connection.last_activity, 0.0
             client.send(b"\r\n\r\n")
-            await until(lambda: connection.quiet_since >= quiet_since)
-            connection.began_at -= 2 * downstream.HALF_SENT_S
+            await until(lambda: connection.last_activity >= last_activity)
+            connection.reader.began_at -= 2 * client_server.REQUEST_READ_TIMEOUT_S
             it.downstream.sweep()
             await it.served(client)
 
@@ -518,28 +519,28 @@
             client.send(ask() + 9 * ask("buy", body=bytes(BODY_LIMIT // 2)))
             await it.host.taken.get()
             (connection,) = it.downstream.connections
-            await until(lambda: connection.closing)
+            await until(lambda: connection.reader.is_stopped)
             *ahead, last = connection.waiting
-            assert len(ahead) == 3 and last.refusal is not None and last.refusal.answer.status == 503
+            assert len(ahead) == 3 and last.rejection is not None and last.rejection.response.status == 503
 
     run(test())
 
 
-def leave(request: Request, it: Gateway) -> None:
-    it.proxy.leave(request)
+def leave(request: PendingRequest, it: Gateway) -> None:
+    it.proxy.ledger.client_disconnected(request)
 
 
-def time_out(request: Request, it: Gateway) -> None:
+def time_out(request: PendingRequest, it: Gateway) -> None:
     (exchange,) = request.attempts[-1:]
     assert exchange is not None
-    exchange.give_up(Outcome.TIMEOUT)
+    exchange.abandon(Outcome.TIMEOUT)
 
 
-def cancel(request: Request, it: Gateway) -> None:
-    it.proxy.carry_out(Cancel(request.id, len(request.attempts) - 1))
+def cancel(request: PendingRequest, it: Gateway) -> None:
+    it.proxy.execute(Cancel(request.id, len(request.attempts) - 1))
 
 
-End = Callable[[Request, Gateway], None]
+End = Callable[[PendingRequest, Gateway], None]
 ENDS: dict[End, Outcome] = {
     leave: Outcome.CANCELLED,  # by the balancer, at once
     time_out: Outcome.TIMEOUT,
@@ -559,7 +560,7 @@
             client = await it.client()
             client.send(ask(Request_Id="first"))
             taken = await it.host.taken.get()
-            (request,) = it.proxy.requests.values()
+            (request,) = it.proxy.ledger.pending.values()
             (exchange,) = request.attempts
             assert exchange is not None
             if answered != "not":
@@ -578,7 +579,7 @@
                 (await it.host.taken.get()).answer()
                 assert (await client.answer())[0] == 200
             await it.served(await it.client(), ask(Request_Id="next"))
-            assert it.host.taken.empty() and not it.proxy.requests and it.proxy.open == 0
+            assert it.host.taken.empty() and not it.proxy.ledger.pending and it.proxy.ledger.unanswered == 0
             assert sum(isinstance(e, AttemptEnded) and e.request_id == "1" for e in it.events) <= 1
 
     run(test())
@@ -606,7 +607,7 @@
             decide(it, ["h0"] * 4, "h0")
             assert it.downstream.listener is not None
             client = socket.create_connection(it.downstream.listener.sockets[0].getsockname())
-            arrive, connected = it.proxy.arrive, UpstreamConnection.connection_made
+            arrive, connected = it.proxy.accept, UpstreamConnection.connection_made
             handle = it.proxy.balancer.handle
 
             def last_moment(*given: Any, **named: Any) -> Any:
@@ -631,7 +632,7 @@
                 assert (await other.answer())[0] == 200
             it.events.clear()
             if attempt == "first":
-                monkeypatch.setattr(it.proxy, "arrive", last_moment)
+                monkeypatch.setattr(it.proxy, "accept", last_moment)
             elif attempt == "on a new connection":
                 monkeypatch.setattr(UpstreamConnection, "connection_made", comes_up)
             else:
@@ -639,14 +640,14 @@
             client.send(ask())
             if attempt == "further":
                 await it.host.taken.get()
-                (request,) = it.proxy.requests.values()
+                (request,) = it.proxy.ledger.pending.values()
                 time_out(request, it)
             await it.event(ClientDisconnected)
-            await until(lambda: not it.proxy.requests)
+            await until(lambda: not it.proxy.ledger.pending)
             monkeypatch.undo()
             client.close()
             await it.served(await it.client(), ask(Request_Id="stayed"))
-            assert it.host.taken.empty() and it.proxy.open == 0
+            assert it.host.taken.empty() and it.proxy.ledger.unanswered == 0
 
     run(test())
 
@@ -668,8 +669,8 @@
                 client.writer.transport.abort() if number % 2 else client.writer.close()
             await until(lambda: not it.downstream.connections)
             free.set()
-            await until(lambda: not it.proxy.requests)
-            assert it.proxy.open == 0 and it.host.taken.empty()
+            await until(lambda: not it.proxy.ledger.pending)
+            assert it.proxy.ledger.unanswered == 0 and it.host.taken.empty()
             await it.served(await it.client(), ask(Request_Id="stayed"))
             assert it.host.taken.empty() and len(it.proxy.upstream.connections) <= 1
 
@@ -721,8 +722,8 @@
             client = await it.client()
             client.send(ask("buy", Request_Timeout_Ms="300"))
             await it.host.taken.get()
-            (request,) = it.proxy.requests.values()
-            while it.proxy.clock.now_us() < request.deadline_us + 2 * LAST_RESORT_US:
+            (request,) = it.proxy.ledger.pending.values()
+            while it.proxy.clock.now_us() < request.deadline_us + 2 * LAST_RESORT_DELAY_US:
                 pass  # this turn of the loop lasts until both are due
             assert (await client.answer())[0] == 502
             assert (await it.event(AttemptEnded)).outcome is Outcome.TIMEOUT
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -47,7 +47,7 @@
             assert await told(it) == (ListKind.DELTA, ["h1 gone"])
             watch.write(chunk(news(entry("h2", it.host.address), snapshot=True)))
             assert await told(it) == (ListKind.COMPLETE, ["h2 ready"])
-            assert it.proxy.upstream.hosts[endpoint_id_of("h0")].draining  # the full list lacks it
+            assert it.proxy.upstream.endpoints[endpoint_id_of("h0")].draining  # the full list lacks it
 
     run(test())
 
@@ -121,7 +121,7 @@
             assert await told(it) == (ListKind.ERROR, [])
             first, _ = await it.registry.watches.get()
             assert "index=12" in first
-            assert it.proxy.upstream.hosts  # the old list stands
+            assert it.proxy.upstream.endpoints  # the old list stands
 
     run(test())
 
@@ -165,10 +165,10 @@
         async with gateway() as it:
             await told(it)
             it.registry.whole = news(entry("h3", it.host.address), snapshot=True).encode()
-            it.proxy.carry_out(PollEndpoints())
+            it.proxy.execute(PollEndpoints())
             assert await told(it) == (ListKind.COMPLETE, ["h3 ready"])
             it.registry.whole = b"no list"
-            it.proxy.carry_out(PollEndpoints())
+            it.proxy.execute(PollEndpoints())
             assert await told(it) == (ListKind.ERROR, [])
 
     run(test())
@@ -196,7 +196,7 @@
             _, watch = await it.registry.watches.get()
             watch.write(chunk(news(entry("h0", "127.0.0.1:9"))))
             await told(it)
-            host = it.proxy.upstream.hosts[endpoint_id_of("h0")]
+            host = it.proxy.upstream.endpoints[endpoint_id_of("h0")]
             assert host.address == ("127.0.0.1", 9)
             watch.write(chunk(news(entry("h0", it.host.address, "leaving"))))
             assert await told(it) == (ListKind.DELTA, [f"h0 {EndpointStatus.DRAINING.value}"])
@@ -215,7 +215,7 @@
             elsewhere = Registry()
             await elsewhere.start()
             elsewhere.whole = news(entry("h3", it.host.address), index=9, snapshot=True).encode()
-            it.proxy.carry_out(PollEndpoints())
+            it.proxy.execute(PollEndpoints())
             it.proxy.discovery.move(parse_address(elsewhere.address))
             first, watch = await elsewhere.watches.get()
             assert first == "GET /registry/instances?stream=1&index=8 HTTP/1.1"
@@ -308,7 +308,7 @@
             listed = [entry("h0", "nowhere"), entry("h2", it.host.address), entry("h3", "nowhere")]
             watch.write(chunk(news(*listed, snapshot=True)))
             assert await told(it) == (ListKind.COMPLETE, ["h0 ready", "h2 ready"])
-            hosts = it.proxy.upstream.hosts
+            hosts = it.proxy.upstream.endpoints
             assert [hosts[endpoint_id_of(f"h{n}")].draining for n in range(3)] == [False, True, False]
 
     run(test())
@@ -343,7 +343,7 @@
             assert await told(it) == (ListKind.ERROR, [])
             it.proxy.discovery.move(parse_address(it.registry.address))
             _, watch = await it.registry.watches.get()
-            it.proxy.carry_out(SubscribeEndpoints())  # the repeat finds the watch open
+            it.proxy.execute(SubscribeEndpoints())  # the repeat finds the watch open
             watch.write(chunk(news(entry("h1", it.host.address))))
             assert await told(it) == (ListKind.DELTA, ["h1 ready"])
             assert it.registry.connections == 1
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -18,9 +18,9 @@
     Outcome,
     RequestArrived,
 )
-from load_balancer.gateway import client_server as downstream
-from load_balancer.gateway.client_server import BODY_LIMIT, HEAD_LIMIT
+from load_balancer.gateway import client_connection, client_server, lingering_close
 from load_balancer.gateway.discovery import endpoint_id_of
+from load_balancer.gateway.http_message import BODY_LIMIT, HEAD_LIMIT
 from tests.sockets import PATIENCE_S, ask, chunk, entry, gateway, hold_connects, news, run, settings, until
 
 
@@ -131,7 +131,7 @@
 
     async def test() -> None:
         async with gateway() as it:
-            it.proxy.upstream.hosts[endpoint_id_of("h0")].address = ("a..b", 80)
+            it.proxy.upstream.endpoints[endpoint_id_of("h0")].address = ("a..b", 80)
             assert (await (await it.client()).ask(ask("buy")))[0] == 503
             assert (await it.event(AttemptEnded)).outcome is Outcome.CONNECT_FAILED
             assert not it.proxy.upstream.connections
@@ -199,7 +199,7 @@
             await it.event(ClientDisconnected)
             assert (await it.event(AttemptEnded)).outcome is Outcome.CANCELLED
             await it.host.left.get()
-            assert not it.proxy.requests and it.proxy.open == 0
+            assert not it.proxy.ledger.pending and it.proxy.ledger.unanswered == 0
 
     run(test())
 
@@ -209,7 +209,7 @@
         async with gateway() as it:
             it.proxy.balancer.handle = lambda now_us, event: []  # type: ignore[method-assign]
             assert (await (await it.client()).ask(ask(Request_Timeout_Ms="50")))[0] == 504
-            assert "no answer at its deadline" in caplog.text and not it.proxy.requests
+            assert "no answer at its deadline" in caplog.text and not it.proxy.ledger.pending
 
     run(test())
 
@@ -241,7 +241,7 @@
             client = await it.client()
             it.proxy.balancer.handle = broken  # type: ignore[method-assign]
             assert (await client.ask(ask()))[0] == 500
-            assert "a fault" in caplog.text and not it.proxy.requests
+            assert "a fault" in caplog.text and not it.proxy.ledger.pending
             it.proxy.balancer.handle = handle  # type: ignore[method-assign]
             await it.served(client)
 
@@ -342,8 +342,8 @@
             peer = await it.client()
             await until(lambda: len(it.downstream.connections) == 2)
             for connection in it.downstream.connections:
-                connection.quiet_since -= downstream.FIRST_REQUEST_S + 0.1
-                connection.began_at -= downstream.FIRST_REQUEST_S + 0.1
+                connection.last_activity -= client_server.FIRST_REQUEST_TIMEOUT_S + 0.1
+                connection.reader.began_at -= client_server.FIRST_REQUEST_TIMEOUT_S + 0.1
             it.downstream.sweep()
             assert await peer.closed()
             assert it.downstream.connections == {known}
@@ -359,14 +359,14 @@
         async with gateway() as it:
             peer = await it.client()
             peer.send(b"GET /look HTT")
-            await until(lambda: any(not c.idle for c in it.downstream.connections))
+            await until(lambda: any(not c.is_idle for c in it.downstream.connections))
             (connection,) = it.downstream.connections
             it.downstream.sweep()
-            assert not connection.closing
-            connection.began_at -= downstream.HALF_SENT_S + 0.1
-            quiet_since, connection.quiet_since = connection.quiet_since, 0.0
+            assert not connection.reader.is_stopped
+            connection.reader.began_at -= client_server.REQUEST_READ_TIMEOUT_S + 0.1
+            last_activity, connection.last_activity = connection.last_activity, 0.0
             peer.send(b"P")
-            await until(lambda: connection.quiet_since >= quiet_since)
+            await until(lambda: connection.last_activity >= last_activity)
             it.downstream.sweep()
             assert (await peer.answer())[0] == 408
             assert await peer.closed()
@@ -376,7 +376,7 @@
 
 def test_what_a_client_sends_after_a_refusal_resets_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     """Closed at once, the connection is reset by the rest of a body, which can overtake the 413."""
-    monkeypatch.setattr(downstream, "LINGER_S", 2 * PATIENCE_S)
+    monkeypatch.setattr(lingering_close, "LINGER_S", 2 * PATIENCE_S)
 
     async def test() -> None:
         async with gateway() as it:
@@ -406,14 +406,16 @@
             taken.answer(body=bytes(BODY_LIMIT))
             assert (await it.event(AttemptEnded)).outcome is Outcome.OK
             assert connection.transport.get_write_buffer_size() > 0
-            for _ in range(2 * downstream.PIPELINED):
+            for _ in range(2 * client_connection.PIPELINE_LIMIT):
                 client.send(ask())
-            await until(lambda: connection.closing)  # read, counted and past the limit
-            assert connection.current is None and len(connection.waiting) <= downstream.PIPELINED + 2
-            assert it.host.taken.empty() and it.proxy.taken == 1
+            await until(lambda: connection.reader.is_stopped)  # read, counted and past the limit
+            assert (
+                connection.current is None and len(connection.waiting) <= client_connection.PIPELINE_LIMIT + 2
+            )
+            assert it.host.taken.empty() and it.proxy.ledger.accepted == 1
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
             assert len((await client.answer())[2]) == BODY_LIMIT
-            for _ in range(downstream.PIPELINED + 1):
+            for _ in range(client_connection.PIPELINE_LIMIT + 1):
                 (await it.host.taken.get()).answer()
                 assert (await client.answer())[0] == 200
             assert (await client.answer())[0] == 503
@@ -472,7 +474,7 @@
             young = await it.client()
             assert (await young.ask(ask()))[0] == 503
             for connection in it.downstream.connections:
-                connection.quiet_since -= downstream.KEPT_S
+                connection.last_activity -= client_server.EVICTION_IDLE_S
             busy = await it.client()
             await it.served(busy)
             ends = [asyncio.create_task(client.closed()) for client in idle]
@@ -497,17 +499,17 @@
 
     async def test() -> None:
         async with gateway(limits={"sockets": 128}) as it:
-            most = it.downstream.limit + downstream.TURNED_AWAY
+            most = it.downstream.limit + client_server.REJECTED_CONNECTIONS
             idle = [await it.client() for _ in range(most)]
             await until(lambda: len(it.downstream.connections) == most)
             for connection in it.downstream.connections if old else ():
-                connection.quiet_since -= downstream.KEPT_S
+                connection.last_activity -= client_server.EVICTION_IDLE_S
             for _ in range(most):
                 asks = await it.client()
                 status, _, text = await asks.ask(b"GET /health/ready HTTP/1.1\r\n\r\n")
                 assert (status, text) == (200, b"ready\n")
                 idle.append(await it.client())
-                assert len(it.downstream.connections) <= most + downstream.ON_THEIR_WAY
+                assert len(it.downstream.connections) <= most + client_server.CLOSING_CONNECTIONS
             first = idle[0 if old else it.downstream.limit]
             assert old or (await first.answer())[0] == 503
             assert await first.closed()
@@ -537,8 +539,8 @@
             await it.served(client)
             it.proxy.upstream.sweep()
             assert len(it.proxy.upstream.connections) == 1
-            assert it.proxy.upstream.idle_s < 60  # what the settings say
-            monkeypatch.setattr(it.proxy.upstream, "idle_s", 0.0)
+            assert it.proxy.upstream.timing.idle_timeout_s < 60  # what the settings say
+            monkeypatch.setattr(it.proxy.upstream.timing, "idle_timeout_s", 0.0)
             it.proxy.upstream.sweep()
             await it.host.left.get()
             assert not it.proxy.upstream.connections
@@ -575,7 +577,7 @@
     async def test() -> None:
         probing = {**settings(probes=True), "report": {"how": how, "fields": ["queue"]}}
         async with gateway(settings=probing) as it:
-            it.proxy.carry_out(StartHealthCheck(endpoint_id_of("h0")))
+            it.proxy.execute(StartHealthCheck(endpoint_id_of("h0")))
             taken = await it.host.taken.get()
             assert taken.first == f"GET {path} HTTP/1.1" and "request-id" not in taken.head
             assert taken.head["host"] == it.host.address
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -194,7 +194,7 @@
 
     async def test() -> None:
         async with gateway(settings={**settings(), "tenants": [{"name": "acme"}, {"name": "zeta"}]}) as it:
-            (server,) = it.proxy.upstream.hosts
+            (server,) = it.proxy.upstream.endpoints
             send: Any = Send
             it.proxy.balancer.unsaid = 3
             handle = it.proxy.balancer.handle
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -22,8 +22,8 @@
 from load_balancer.config.file import load_config
 from load_balancer.decisions.actions import SendPeerMessage
 from load_balancer.decisions.events import AttemptEnded, PeerMessageReceived
-from load_balancer.gateway import client_server as downstream
-from load_balancer.gateway import upstream_pool as upstream
+from load_balancer.gateway import client_server
+from load_balancer.gateway import upstream_pool
 from load_balancer.gateway.client_server import ClientServer
 from load_balancer.gateway.discovery import DiscoveredEndpoint
 from load_balancer.simulator.codec import parse_settings
@@ -146,7 +146,7 @@
         looked_at = [
             known
             for known in gc.get_objects()
-            if isinstance(known, DiscoveredEndpoint | upstream.EndpointPool)
+            if isinstance(known, DiscoveredEndpoint | upstream_pool.EndpointPool)
         ]
         gc.unfreeze()
         serving.cancel()
@@ -316,7 +316,7 @@
 
 def test_requests_that_come_during_a_drain_are_served(monkeypatch: pytest.MonkeyPatch) -> None:
     """The front goes on sending for a moment, on new connections and on those that it has."""
-    monkeypatch.setattr(downstream, "HALF_SENT_DRAIN_S", PATIENCE_S)
+    monkeypatch.setattr(client_server, "PARTIAL_REQUEST_GRACE_S", PATIENCE_S)
 
     async def test() -> None:
         async with gateway() as it:
@@ -328,10 +328,10 @@
             late.send(ask())
             taken = await it.host.taken.get()
             idle.send(ask()[:20])
-            while not any(connection.reading for connection in it.downstream.connections):
+            while not any(connection.reader.is_mid_request for connection in it.downstream.connections):
                 await asyncio.sleep(0.001)
             it.downstream.stop_listening()
-            finish = asyncio.create_task(it.downstream.finish())
+            finish = asyncio.create_task(it.downstream.close_connections())
             taken.answer()
             for client in (late, idle):
                 status, head, _ = await client.answer()
@@ -349,8 +349,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Its connection was up and the request sent, and the close of the listener reset both."""
-    monkeypatch.setattr(downstream, "LAST_ACCEPT_S", 0.0)
-    monkeypatch.setattr(downstream, "LAST_REQUEST_S", 0.0)
+    monkeypatch.setattr(client_server, "ACCEPT_GRACE_S", 0.0)
+    monkeypatch.setattr(client_server, "REQUEST_GRACE_S", 0.0)
 
     async def test() -> None:
         async with gateway() as it:
@@ -391,7 +391,7 @@
 
 
 def test_a_client_that_reads_nothing_does_not_hold_up_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(downstream, "UNREAD_DRAIN_S", 0.0)
+    monkeypatch.setattr(client_server, "UNREAD_ANSWER_GRACE_S", 0.0)
 
     async def test() -> None:
         async with gateway() as it:
@@ -404,7 +404,7 @@
             taken.answer(body=bytes(60_000))
             await it.event(AttemptEnded)
             assert connection.transport.get_write_buffer_size() > 0
-            await it.downstream.finish()
+            await it.downstream.close_connections()
             client.writer.transport.abort()
 
     run(test())
@@ -483,12 +483,12 @@
             ) as it:
                 loop = asyncio.get_running_loop()
                 for message in (SendPeerMessage(b"to one", 1), SendPeerMessage(b"to all")):
-                    it.proxy.carry_out(message)
+                    it.proxy.execute(message)
                     assert await loop.sock_recv(peer, 512) == message.data
                 with pytest.raises(ValueError, match="too long"):
-                    it.proxy.carry_out(SendPeerMessage(bytes(257)))
-                assert it.proxy.peers is not None
-                to = it.proxy.peers.get_extra_info("sockname")
+                    it.proxy.execute(SendPeerMessage(bytes(257)))
+                assert it.proxy.peers.transport is not None
+                to = it.proxy.peers.transport.get_extra_info("sockname")
                 stranger.sendto(b"from nobody", to)
                 peer.sendto(b"hello", to)
                 heard = await it.event(PeerMessageReceived)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -63,7 +63,7 @@
 
     @property
     def number(self) -> int:
-        return self.gateway.proxy.generation.number
+        return self.gateway.proxy.settings_version.number
 
 
 @asynccontextmanager
@@ -332,7 +332,7 @@
             _, watch = await elsewhere.watches.get()
             assert it.number == (1 if same else 2)
             watch.write(chunk(news(entry("h9", it.gateway.host.address), index=9)))
-            await until(lambda: len(it.gateway.proxy.upstream.hosts) == 3)
+            await until(lambda: len(it.gateway.proxy.upstream.endpoints) == 3)
             old.close()
             klass = "look" if same else "find"
             await it.gateway.served(await it.gateway.client(), ask(klass, "GET", Tenant="acme"))
@@ -355,7 +355,7 @@
             balancer = it.gateway.proxy.balancer
             assert it.number == 61 and len(balancer.classes) == 2 == len(balancer.classes.by_number)
             assert balancer.demand.asked.keys() <= balancer.classes.by_number.keys()
-            assert not it.gateway.proxy.requests and not balancer.requests
+            assert not it.gateway.proxy.ledger.pending and not balancer.requests
             assert balancer.classes[1].answers == 60
 
     run(test())
@@ -389,6 +389,6 @@
             await it.take_over(others("find", tenants=[]))
             client.writer.close()
             await it.gateway.event(ClientDisconnected)
-            await until(lambda: not it.gateway.proxy.requests)
+            await until(lambda: not it.gateway.proxy.ledger.pending)
 
     run(test())
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -90,7 +90,7 @@
 
         def heard(told: WatchEvent) -> None:
             loop.note(told)
-            proxy.on_news(told)
+            proxy.on_watch_event(told)
 
         proxy.discovery.news = heard
         proxy.discovery.start(proxy.config.known)
