--- a/lab/changes.py
+++ b/lab/changes.py
@@ -16,7 +16,7 @@
 from lab import fleet, schedule
 from lab.child import Handler, Hist, Order, obey
 from load_balancer.config.file import read_steps
-from load_balancer.config.reader import Steps, run_to_completion
+from load_balancer.config.steps import Steps, run_to_completion
 from load_balancer.decisions.actions import Send
 from load_balancer.decisions.balancer import Balancer
 from load_balancer.decisions.endpoint import ListKind
--- /dev/null
+++ b/load_balancer/config/comparison.py
@@ -0,0 +1,154 @@
+"""What a running gateway would do if one configuration were replaced by another, as lines of text."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable, Iterator, Mapping, Sequence
+from dataclasses import dataclass
+from typing import Any
+
+import msgspec
+
+from load_balancer.config.effective_config import EffectiveConfig, JsonObject
+from load_balancer.config.gateway_config import Config
+from load_balancer.config.models import CLASSES_KEY, TENANTS_KEY
+from load_balancer.config.steps import run_to_completion
+from load_balancer.decisions.settings_version import SettingsVersion, initial_version, next_version
+
+APPLIED_AT_ONCE = ("discovery", "peers", "peers_all")
+APPLIED_AT_START = ("seed",)
+
+FixedFields = Mapping[str, Callable[[Config], object]]
+
+
+@dataclass(frozen=True, slots=True)
+class ItemChanges:
+    """What a change does to the request classes or to the tenants, by name.
+
+    Attributes:
+        added: Names that only the new configuration has.
+        removed: Names that only the old configuration has.
+        changed: For each name whose fields differ, those fields with both values.
+        unchanged_count: How many are equal.
+        restarted: Names in both whose state starts anew.
+    """
+
+    added: tuple[str, ...]
+    removed: tuple[str, ...]
+    changed: Mapping[str, str]
+    unchanged_count: int
+    restarted: frozenset[str]
+
+    def summary(self, title: str) -> str:
+        """Return one line of counts."""
+        return (
+            f"{title}: {len(self.added)} added, {len(self.removed)} removed, {len(self.changed)} changed, "
+            f"{self.unchanged_count} as before"
+        )
+
+    def details(self) -> Iterator[str]:
+        """Yield a line for each item that is not the same as before."""
+        for name in self.added:
+            yield f"  + {name}"
+        for name in self.removed:
+            yield f"  - {name}: its state is dropped"
+        for name, fields in self.changed.items():
+            state = "starts anew" if name in self.restarted else "is kept"
+            yield f"  ~ {name}: {fields}; its state {state}"
+
+
+def compare_configs(
+    old: EffectiveConfig, new: EffectiveConfig, max_lines: int, fixed_fields: FixedFields
+) -> Iterator[str]:
+    """Yield a line for each thing that replacing `old` by `new` would do.
+
+    Args:
+        old: What a gateway runs with.
+        new: What it would be given.
+        max_lines: Lines for each of the long lists, besides its summary.
+        fixed_fields: What a running process cannot change: how to get the value, by path.
+    """
+    old_version = initial_version(old.config.settings)
+    new_version = run_to_completion(next_version(old_version, new.config.settings))
+    old_settings, new_settings = dict(old.document["settings"]), dict(new.document["settings"])
+    for title, key, ids in (("routes", CLASSES_KEY, _class_ids), ("tenants", TENANTS_KEY, _tenant_ids)):
+        item_changes = _compare_items(
+            old_settings.pop(key), new_settings.pop(key), ids(old_version), ids(new_version)
+        )
+        yield item_changes.summary(title)
+        yield from _shortened(list(item_changes.details()), max_lines)
+    yield from _section("other settings, in force at once", _changed_fields(old_settings, new_settings))
+    for title, keys in (("in force at once", APPLIED_AT_ONCE), ("only at the next start", APPLIED_AT_START)):
+        changes = _changed_fields(_select(old.document, keys), _select(new.document, keys))
+        yield from _section(title, changes)
+    fixed = [path for path, value in fixed_fields.items() if value(old.config) != value(new.config)]
+    if fixed:
+        reason = "refused by a gateway that runs with OLD, as only a new process can change it"
+        yield f"{reason}: {', '.join(fixed)}"
+
+
+def _compare_items(
+    old_items: Sequence[JsonObject],
+    new_items: Sequence[JsonObject],
+    old_ids: Mapping[str, int],
+    new_ids: Mapping[str, int],
+) -> ItemChanges:
+    old_by_name = {item["name"]: item for item in old_items}
+    new_by_name = {item["name"]: item for item in new_items}
+    added = tuple(name for name in new_by_name if name not in old_by_name)
+    removed = tuple(name for name in old_by_name if name not in new_by_name)
+    in_both = [name for name in new_by_name if name in old_by_name]
+    changed = {
+        name: ", ".join(_changed_fields(old_by_name[name], new_by_name[name]))
+        for name in in_both
+        if old_by_name[name] != new_by_name[name]
+    }
+    return ItemChanges(
+        added=added,
+        removed=removed,
+        changed=changed,
+        unchanged_count=len(in_both) - len(changed),
+        restarted=frozenset(name for name in in_both if old_ids.get(name) != new_ids.get(name)),
+    )
+
+
+def _class_ids(version: SettingsVersion) -> dict[str, int]:
+    names = [each.name for each in version.settings.classes]
+    return dict(zip(names, version.class_ids, strict=True))
+
+
+def _tenant_ids(version: SettingsVersion) -> dict[str, int]:
+    names = [each.name for each in version.settings.tenants]
+    return dict(zip(names, version.tenant_ids, strict=False))  # without tenants there is an id all the same
+
+
+def _changed_fields(old: JsonObject, new: JsonObject, path: str = "") -> Iterator[str]:
+    """Yield the path of each field that differs, with both values."""
+    for key in new:
+        field_path = f"{path}.{key}" if path else key
+        if isinstance(old[key], dict) and isinstance(new[key], dict):
+            yield from _changed_fields(old[key], new[key], field_path)
+        elif old[key] != new[key]:
+            yield f"{field_path} {_to_json(old[key])} -> {_to_json(new[key])}"
+
+
+def _to_json(value: Any) -> str:
+    return msgspec.json.encode(value).decode()
+
+
+def _select(document: JsonObject, keys: Iterable[str]) -> JsonObject:
+    return {key: document[key] for key in keys}
+
+
+def _shortened(lines: Sequence[str], max_lines: int) -> Iterator[str]:
+    yield from lines[:max_lines]
+    omitted_count = len(lines) - max_lines
+    if omitted_count > 0:
+        yield f"  ... and {omitted_count} more (--all names them)"
+
+
+def _section(title: str, changes: Iterable[str]) -> Iterator[str]:
+    """Yield a title and a line for each change; nothing where there is none."""
+    lines = [f"  ~ {change}" for change in changes]
+    if lines:
+        yield f"{title}:"
+        yield from lines
--- /dev/null
+++ b/load_balancer/config/errors.py
@@ -0,0 +1,86 @@
+"""Errors of a configuration, each naming the JSON path that it concerns."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from load_balancer.errors import LoadBalancerError
+
+MAX_MESSAGE_LENGTH = 300  # characters of one error
+
+
+class ConfigError(LoadBalancerError, ValueError):
+    """The configuration is missing or cannot be used.
+
+    Attributes:
+        errors: Everything that was found wrong, one line each.
+    """
+
+    def __init__(self, message: str, errors: tuple[str, ...] = ()) -> None:
+        super().__init__(message)
+        self.errors = errors or (message,)
+
+    @classmethod
+    def from_format_error(cls, file: str, error: SettingsFormatError) -> ConfigError:
+        """Return the error that names the file before each path."""
+        errors = tuple(f"{file}: {each}" for each in error.errors)
+        return cls(errors[0], errors)
+
+
+class SettingsFormatError(LoadBalancerError, ValueError):
+    """JSON that does not fit its model.
+
+    Attributes:
+        errors: Everything that was found wrong, one line each, with the path where it stands.
+    """
+
+    def __init__(self, errors: Iterable[str]) -> None:
+        self.errors = tuple(errors)
+        super().__init__(self.errors[0])
+
+
+class ValidationErrors:
+    """Collects errors and raises them together once there are enough of them.
+
+    Args:
+        max_errors: `add` raises when this many have been collected; 1 raises the first.
+    """
+
+    def __init__(self, max_errors: int = 1) -> None:
+        self.max_errors = max_errors
+        self.messages: list[str] = []
+
+    def add(self, path: str, message: str) -> None:
+        """Collect an error at a JSON path.
+
+        Raises:
+            SettingsFormatError: There are as many errors as are wanted.
+        """
+        self.messages.append(printable_line(f"{path}: {message}" if path else message))
+        if len(self.messages) >= self.max_errors:
+            self.raise_if_any()
+
+    def raise_if_any(self) -> None:
+        """Raise what has been collected.
+
+        Raises:
+            SettingsFormatError: At least one error has been collected.
+        """
+        if self.messages:
+            raise SettingsFormatError(self.messages)
+
+
+def printable_line(text: str) -> str:
+    """Return the text with unprintable characters escaped, cut to `MAX_MESSAGE_LENGTH` characters."""
+    characters = text[: MAX_MESSAGE_LENGTH + 1]
+    line = "".join(char if char.isprintable() else repr(char)[1:-1] for char in characters)
+    if len(line) <= MAX_MESSAGE_LENGTH:
+        return line
+    return f"{line[: MAX_MESSAGE_LENGTH - 3]}..."
+
+
+def join_path(path: str, part: str) -> str:
+    """Return the JSON path of a part, a name or an index in brackets, within the value at `path`."""
+    if not path or not part or part.startswith("["):
+        return f"{path}{part}"
+    return f"{path}.{part}"
--- a/load_balancer/config/file.py
+++ b/load_balancer/config/file.py
@@ -1,4 +1,4 @@
-"""What the gateway is told at its start: the ROUTER_* variables and the configuration file behind them."""
+"""Reading a gateway's configuration: the ROUTER_* variables and the file that ROUTER_CONFIG names."""
 
 from __future__ import annotations
 
@@ -7,267 +7,288 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 from operator import is_
-from typing import Annotated, Any
+from typing import Any
 
 import msgspec
-from msgspec import Meta, Raw, Struct
+from msgspec import Raw
 
-from load_balancer.config.reader import (
-    STEP,
+from load_balancer.config.addresses import Address, parse_address
+from load_balancer.config.errors import (
+    ConfigError,
     SettingsFormatError,
-    SettingsModel,
-    Steps,
     ValidationErrors,
-    decode,
-    decode_document,
     printable_line,
-    read_settings,
-    run_to_completion,
 )
+from load_balancer.config.file_models import EndpointListModel, FileModel
+from load_balancer.config.gateway_config import Config, NameTable
+from load_balancer.config.json_document import decode_document, decode_value
+from load_balancer.config.models import SettingsModel
+from load_balancer.config.settings_reader import read_settings
+from load_balancer.config.steps import ITEMS_PER_STEP, Steps, run_to_completion
 from load_balancer.decisions.settings import Settings
 
-Address = tuple[str, int]
+__all__ = [
+    "Address",
+    "Config",
+    "ConfigError",
+    "NameTable",
+    "load_config",
+    "parse_address",
+    "parse_config",
+    "read_config",
+    "read_file",
+    "read_steps",
+]
+
+CONFIG_LIMIT = 16 * 1024 * 1024  # bytes; about five times a file of 3,400 classes and 23,000 tenants
+READ_BYTES_PER_STEP = 4 * 1024 * 1024
+MIN_READ_BYTES = 64 * 1024
+HASH_BYTES_PER_STEP = 1024 * 1024
+DIGEST_BYTES = 16
 
-CONFIG_LIMIT = 16 * 1024 * 1024  # bytes; about five times the file of 3,400 routes and 23,000 tenants
-READ_BYTES = 4 * 1024 * 1024  # between two yields
-LEAST_BYTES = 64 * 1024
-HASH_BYTES = 1024 * 1024
-SHOWN = 60  # characters of a value that an error shows
 
+def load_config(environ: Mapping[str, str]) -> Config:
+    """Return the configuration of a gateway that starts.
 
-class ConfigError(ValueError):
-    """The configuration is missing or cannot be used; `faults` holds each place, one line each."""
-
-    def __init__(self, text: str, faults: tuple[str, ...] = ()) -> None:
-        super().__init__(text)
-        self.faults = faults or (text,)
-
-    @classmethod
-    def of(cls, file: str, error: SettingsFormatError) -> ConfigError:
-        faults = tuple(f"{file}: {fault}" for fault in error.faults)
-        return cls(faults[0], faults)
-
-
-@dataclass(frozen=True, slots=True)
-class NameTable:
-    """The settings' names; the balancer knows each by its place."""
-
-    classes: tuple[str, ...]
-    tenants: tuple[str, ...]
-    zones: tuple[str, ...]
-    kinds: tuple[str, ...]
-
-
-@dataclass(frozen=True, slots=True)
-class Config:
-    name: str
-    listen: Address
-    discovery: Address
-    seed: int
-    sockets: int  # file descriptors that the process may hold
-    settings: Settings
-    names: NameTable
-    known: dict[str, Any]  # the list of hosts as last held, in discovery's form
-    peer_listen: Address | None = None
-    peers: tuple[Address, ...] = ()
-    peers_all: Address | None = None
-    content: str = ""  # hex digest of the settings object, byte for byte as it stands in the file
-
+    ROUTER_NAME, ROUTER_LISTEN and ROUTER_DISCOVERY override what stands in the file.
 
-class Limits(Struct):
-    sockets: Annotated[int, Meta(ge=128)] = 1024
+    Raises:
+        ConfigError: The configuration is missing or cannot be used.
+    """
+    return run_to_completion(read_steps(environ))
 
 
-class KnownModel(Struct):
-    endpoints: list[Raw] = []
+def parse_config(document: dict[str, Any]) -> Config:
+    """Return the configuration of a file's JSON object, without a file or an environment.
 
+    Raises:
+        ConfigError: The configuration cannot be used.
+    """
+    try:
+        return run_to_completion(read_config(msgspec.json.encode(document), {}, None, ValidationErrors()))
+    except SettingsFormatError as error:
+        raise ConfigError(str(error), error.errors) from None
 
-class FileModel(Struct):
-    """The file; the settings and the known list are read piece by piece."""
 
-    settings: Raw
-    name: Any = None
-    listen: Any = None
-    discovery: Any = None
-    seed: str | int | float = 0
-    limits: Limits = msgspec.field(default_factory=Limits)
-    known: Raw = Raw(b"{}")
-    peer_listen: str | None = None
-    peers: list[str] = []
-    peers_all: str | None = None
+def read_steps(
+    environ: Mapping[str, str], previous: Config | None = None, max_errors: int = 1
+) -> Steps[Config]:
+    """Read the configuration in steps of at most some 2 ms at 23,000 tenants.
 
+    Args:
+        environ: The ROUTER_* variables.
+        previous: The configuration in force. What is equal in it is taken over as the same objects (tenants,
+            classes, names, and whole tuples in which nothing differs), the address of service discovery is
+            the file's, and the cached endpoint list is left empty, as the process holds a newer one.
+        max_errors: Reading stops after this many errors in the file's contents.
 
-def parse_address(text: object) -> Address:
-    host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
-    digits = port.isascii() and port.isdigit() and len(port) <= 5
-    if not host or not colon or not digits or not int(port) < 65_536:
-        shown = repr(text)
-        shown = shown if len(shown) <= SHOWN else f"{shown[:SHOWN]}..."
-        raise ConfigError(f"expected an address of the form host:port, got {shown}")
-    return host, int(port)
+    Raises:
+        ConfigError: The configuration is missing or cannot be used.
+    """
+    path, data = yield from read_file(environ)
+    try:
+        return (yield from read_config(data, environ, previous, ValidationErrors(max_errors)))
+    except SettingsFormatError as error:
+        raise ConfigError.from_format_error(path, error) from None
 
 
 def read_file(environ: Mapping[str, str]) -> Steps[tuple[str, bytes]]:
-    """The configuration file's path and bytes, of which there are CONFIG_LIMIT at most."""
+    """Return the configuration file's path, as errors show it, and its bytes.
+
+    Raises:
+        ConfigError: No file is named, it cannot be read, or it has more than `CONFIG_LIMIT` bytes.
+    """
     path = environ.get("ROUTER_CONFIG")
     if not path:
         raise ConfigError("ROUTER_CONFIG is not set")
-    shown, parts, taken = printable_line(path), list[bytes](), 0
+    shown_path = printable_line(path)
+    parts: list[bytes] = []
+    received = 0
     try:
         with open(path, "rb", buffering=0) as file:
             size = os.fstat(file.fileno()).st_size  # 0 for a pipe
             while size <= CONFIG_LIMIT:
-                part = file.read(min(READ_BYTES, max(size - taken, LEAST_BYTES)))
+                part = file.read(min(READ_BYTES_PER_STEP, max(size - received, MIN_READ_BYTES)))
                 if not part:
                     break
                 parts.append(part)
-                taken += len(part)
-                size = max(size, taken)
+                received += len(part)
+                size = max(size, received)
                 yield
     except (OSError, ValueError) as error:
-        why = error.strerror if isinstance(error, OSError) else str(error)
-        raise ConfigError(f"{shown} cannot be read: {why}") from None
+        reason = error.strerror if isinstance(error, OSError) else str(error)
+        raise ConfigError(f"{shown_path} cannot be read: {reason}") from None
     if size > CONFIG_LIMIT:
-        raise ConfigError(f"{shown} is too large: expected at most {CONFIG_LIMIT} bytes, got {size} or more")
-    return shown, b"".join(parts)  # the very bytes where one reading took them all
+        raise ConfigError(
+            f"{shown_path} is too large: expected at most {CONFIG_LIMIT} bytes, got {size} or more"
+        )
+    return shown_path, b"".join(parts)  # a single part is not copied
 
 
-def load_config(environ: Mapping[str, str]) -> Config:
-    """The configuration that a start takes: ROUTER_NAME, ROUTER_LISTEN and ROUTER_DISCOVERY come first."""
-    return run_to_completion(read_steps(environ))
-
-
-def parse_config(raw: dict[str, Any]) -> Config:
-    """The same from the file's object, without a file."""
-    try:
-        return run_to_completion(read_parts(msgspec.json.encode(raw), {}, None, ValidationErrors()))
-    except SettingsFormatError as error:
-        raise ConfigError(str(error), error.faults) from None
-
-
-def read_steps(environ: Mapping[str, str], before: Config | None = None, most: int = 1) -> Steps[Config]:
-    """The configuration, with a yield after each piece of work (at most some 2 ms at 23,000 tenants).
+def read_config(
+    data: bytes, environ: Mapping[str, str], previous: Config | None, errors: ValidationErrors
+) -> Steps[Config]:
+    """Read the configuration from the file's bytes; see `read_steps`.
 
-    With `before`, the configuration in force, what is equal in it is taken over as the same objects (tenants,
-    classes, names, and whole tuples where nothing in them differs), discovery is where the file says, and the
-    list of known hosts is left empty: the process holds a newer one. Raises ConfigError, one line; after
-    `most` faults in what the file says.
+    Raises:
+        SettingsFormatError: The configuration cannot be used.
     """
-    shown, data = yield from read_file(environ)
-    try:
-        return (yield from read_parts(data, environ, before, ValidationErrors(most)))
-    except SettingsFormatError as error:
-        raise ConfigError.of(shown, error) from None
-
-
-def read_parts(
-    data: bytes, environ: Mapping[str, str], before: Config | None, faults: ValidationErrors
-) -> Steps[Config]:
-    model: FileModel | None = yield from decode_document(data, FileModel, faults)
+    model: FileModel | None = yield from decode_document(data, FileModel, errors)
     yield
-    if model is None:  # the settings are looked at none the less, for what else is wrong
-        parts = decode(data, dict[str, Raw], "", faults) or {}
-        if "settings" in parts:
-            yield from read_settings(parts["settings"], "settings", None, faults, named=True)
-        raise SettingsFormatError(faults.found)
-    del data
-    told = {"name": model.name, "listen": model.listen, "discovery": model.discovery}
-    for key in ("name", "listen") if before else tuple(told):
-        told[key] = environ.get(f"ROUTER_{key.upper()}", told[key])
-    name = told["name"]
-    if not isinstance(name, str) or not name:
-        faults.add("name", "is missing; expected text" if not name else f"expected text, got {name!r}")
-    listen = read_address(told["listen"], "listen", faults)
-    discovery = read_address(told["discovery"], "discovery", faults)
-    seed = read_seed(model.seed, faults)
-    peers = tuple(read_address(peer, f"peers[{n}]", faults) for n, peer in enumerate(model.peers))
-    peer_listen = read_address(model.peer_listen, "peer_listen", faults) if model.peer_listen else None
-    peers_all = read_address(model.peers_all, "peers_all", faults) if model.peers_all else None
+    if model is None:
+        yield from _add_settings_errors(data, errors)
+        raise SettingsFormatError(errors.messages)
+    del data  # the model holds what it needs of it
+    identity = _read_identity(model, environ, previous, errors)
+    seed = _read_seed(model.seed, errors)
+    peers = _read_peers(model, errors)
     yield
-    known = yield from read_known(model.known, before is not None, faults)
-    content = yield from digest(model.settings)
-    if before is not None and content == before.content:
-        settings, names = before.settings, before.names
+    known = yield from _read_endpoint_list(model.known, previous is not None, errors)
+    content = yield from _digest(model.settings)
+    if previous is not None and content == previous.content:
+        settings, names = previous.settings, previous.names
     else:
-        held = before.settings if before else None
-        settings, inner = yield from read_settings(model.settings, "settings", held, faults, named=True)
-        names = yield from read_names(settings, inner, before.names if before else None)
-    faults.settle()
-    assert listen is not None and discovery is not None
+        settings, names = yield from _read_named_settings(model.settings, previous, errors)
+    errors.raise_if_any()
+    assert identity.listen is not None
+    assert identity.discovery is not None
     return Config(
-        name=str(name),
-        listen=listen,
-        discovery=discovery,
+        name=identity.name,
+        listen=identity.listen,
+        discovery=identity.discovery,
         seed=seed,
         sockets=model.limits.sockets,
         settings=settings,
         names=names,
         known=known,
-        peer_listen=peer_listen,
-        peers=tuple(peer for peer in peers if peer is not None),
-        peers_all=peers_all,
+        peer_listen=peers.listen,
+        peers=peers.addresses,
+        peers_all=peers.all_peers,
         content=content,
     )
 
 
-def read_address(raw: object, path: str, faults: ValidationErrors) -> Address | None:
+def _add_settings_errors(data: bytes, errors: ValidationErrors) -> Steps[None]:
+    """Add what is wrong with the settings in a file that does not fit its own model."""
+    parts: dict[str, Raw] = decode_value(data, dict[str, Raw], "", errors) or {}
+    if "settings" in parts:
+        yield from read_settings(parts["settings"], "settings", None, errors, names_required=True)
+
+
+@dataclass(frozen=True, slots=True)
+class _Identity:
+    """Who and where the gateway is; an address is None after an error."""
+
+    name: str
+    listen: Address | None
+    discovery: Address | None
+
+
+def _read_identity(
+    model: FileModel, environ: Mapping[str, str], previous: Config | None, errors: ValidationErrors
+) -> _Identity:
+    name = environ.get("ROUTER_NAME", model.name)
+    listen = environ.get("ROUTER_LISTEN", model.listen)
+    discovery = model.discovery
+    if previous is None:
+        discovery = environ.get("ROUTER_DISCOVERY", discovery)
+    if not name:
+        errors.add("name", "is missing; expected text")
+    elif not isinstance(name, str):
+        errors.add("name", f"expected text, got {name!r}")
+    return _Identity(
+        str(name),
+        _read_address(listen, "listen", errors),
+        _read_address(discovery, "discovery", errors),
+    )
+
+
+@dataclass(frozen=True, slots=True)
+class _Peers:
+    """Where the other gateways are, and where they reach this one."""
+
+    addresses: tuple[Address, ...]
+    listen: Address | None
+    all_peers: Address | None
+
+
+def _read_peers(model: FileModel, errors: ValidationErrors) -> _Peers:
+    addresses = [_read_address(peer, f"peers[{index}]", errors) for index, peer in enumerate(model.peers)]
+    listen = _read_address(model.peer_listen, "peer_listen", errors) if model.peer_listen else None
+    all_peers = _read_address(model.peers_all, "peers_all", errors) if model.peers_all else None
+    return _Peers(tuple(each for each in addresses if each is not None), listen, all_peers)
+
+
+def _read_address(text: object, path: str, errors: ValidationErrors) -> Address | None:
     try:
-        return parse_address(raw)
+        return parse_address(text)
     except ConfigError as error:
-        faults.add(path, str(error))
+        errors.add(path, str(error))
         return None
 
 
-def read_seed(raw: str | int | float, faults: ValidationErrors) -> int:
+def _read_seed(seed: str | int | float, errors: ValidationErrors) -> int:
     try:
-        return int(raw, 16) if isinstance(raw, str) else int(raw)
+        return int(seed, 16) if isinstance(seed, str) else int(seed)
     except ValueError:
-        faults.add("seed", f"expected a number, or one in hexadecimal as text, got {raw!r}")
+        errors.add("seed", f"expected a number, or one in hexadecimal as text, got {seed!r}")
         return 0
 
 
-def read_known(raw: Raw, held: bool, faults: ValidationErrors) -> Steps[dict[str, Any]]:
-    """The list as plain objects; where a list is held already, only whether it is one."""
-    model = decode(raw, KnownModel, "known", faults)
+def _read_endpoint_list(raw: Raw, only_check: bool, errors: ValidationErrors) -> Steps[dict[str, Any]]:
+    """Return the cached endpoint list as plain objects; empty if it is only to be checked that it is one."""
+    model: EndpointListModel | None = decode_value(raw, EndpointListModel, "known", errors)
     yield
-    if model is None or held:
+    if model is None or only_check:
         return {}
-    known = {key: value for key, value in decode_others(raw).items() if key != "endpoints"}
+    parts: dict[str, Raw] = msgspec.json.decode(raw, type=dict[str, Raw])
+    endpoint_list: dict[str, Any] = {
+        key: msgspec.json.decode(part) for key, part in parts.items() if key != "endpoints"
+    }
     endpoints: list[Any] = []
-    for start in range(0, len(model.endpoints), STEP):
-        endpoints += [
-            decode(entry, Any, f"known.endpoints[{n}]", faults)
-            for n, entry in enumerate(model.endpoints[start : start + STEP], start)
-        ]
+    for start in range(0, len(model.endpoints), ITEMS_PER_STEP):
+        for index, entry in enumerate(model.endpoints[start : start + ITEMS_PER_STEP], start):
+            endpoints.append(decode_value(entry, Any, f"known.endpoints[{index}]", errors))
         yield
-    return known | {"endpoints": endpoints}
+    endpoint_list["endpoints"] = endpoints
+    return endpoint_list
 
 
-def decode_others(raw: Raw) -> dict[str, Any]:
-    """The index and what else stands beside the endpoints."""
-    parts: dict[str, Raw] = msgspec.json.decode(raw, type=dict[str, Raw])
-    return {key: msgspec.json.decode(part) for key, part in parts.items() if key != "endpoints"}
-
-
-def digest(raw: Raw) -> Steps[str]:
-    view, made = memoryview(raw), hashlib.blake2b(digest_size=16)
-    for start in range(0, len(view), HASH_BYTES):
-        made.update(view[start : start + HASH_BYTES])
+def _digest(raw: Raw) -> Steps[str]:
+    """Return the hex digest of a piece of JSON."""
+    view = memoryview(raw)
+    blake = hashlib.blake2b(digest_size=DIGEST_BYTES)
+    for start in range(0, len(view), HASH_BYTES_PER_STEP):
+        blake.update(view[start : start + HASH_BYTES_PER_STEP])
         yield
-    return made.hexdigest()
+    return blake.hexdigest()
 
 
-def read_names(settings: Settings, model: SettingsModel, before: NameTable | None) -> Steps[NameTable]:
-    """The names by place; a tuple of `before` that holds the same ones is taken over."""
+def _read_named_settings(
+    raw: Raw, previous: Config | None, errors: ValidationErrors
+) -> Steps[tuple[Settings, NameTable]]:
+    previous_settings = previous.settings if previous else None
+    settings, model = yield from read_settings(
+        raw, "settings", previous_settings, errors, names_required=True
+    )
+    names = yield from _read_names(settings, model, previous.names if previous else None)
+    return settings, names
 
-    def kept(names: tuple[str, ...], old: tuple[str, ...]) -> tuple[str, ...]:
-        return old if len(names) == len(old) and (all(map(is_, names, old)) or names == old) else names
 
-    old = before or NameTable((), (), (), ())
-    classes = kept(tuple(each.name for each in settings.classes), old.classes)
+def _read_names(settings: Settings, model: SettingsModel, previous: NameTable | None) -> Steps[NameTable]:
+    old = previous or NameTable((), (), (), ())
+    classes = _reuse_if_equal(tuple(each.name for each in settings.classes), old.classes)
     yield
-    tenants = kept(tuple(each.name for each in settings.tenants), old.tenants)
+    tenants = _reuse_if_equal(tuple(each.name for each in settings.tenants), old.tenants)
     yield
-    return NameTable(
-        classes, tenants, kept(tuple(model.zones), old.zones), kept(tuple(model.shapes), old.kinds)
-    )
+    zones = _reuse_if_equal(tuple(model.zones), old.zones)
+    kinds = _reuse_if_equal(tuple(model.endpoint_kinds), old.kinds)
+    return NameTable(classes, tenants, zones, kinds)
+
+
+def _reuse_if_equal(names: tuple[str, ...], previous: tuple[str, ...]) -> tuple[str, ...]:
+    """Return `previous` if it holds the same names, else `names`."""
+    if len(names) != len(previous):
+        return names
+    same_objects = all(map(is_, names, previous))  # cheaper than comparing, and true of most reloads
+    return previous if same_objects or names == previous else names
--- /dev/null
+++ b/load_balancer/config/file_models.py
@@ -0,0 +1,37 @@
+"""Models of the configuration file: what stands beside the settings object."""
+
+from __future__ import annotations
+
+from typing import Annotated, Any
+
+from msgspec import Meta, Raw, Struct, field
+
+
+class LimitsModel(Struct):
+    """Limits of the process."""
+
+    sockets: Annotated[int, Meta(ge=128)] = 1024
+
+
+class EndpointListModel(Struct):
+    """An endpoint list in the form of service discovery, its entries left raw."""
+
+    endpoints: list[Raw] = []
+
+
+class FileModel(Struct):
+    """The file; the settings and the cached endpoint list are left raw, to be read piece by piece.
+
+    What the environment may override is checked once it is known which value counts.
+    """
+
+    settings: Raw
+    name: Any = None
+    listen: Any = None
+    discovery: Any = None
+    seed: str | int | float = 0
+    limits: LimitsModel = field(default_factory=LimitsModel)
+    known: Raw = Raw(b"{}")
+    peer_listen: str | None = None
+    peers: list[str] = []
+    peers_all: str | None = None
--- /dev/null
+++ b/load_balancer/config/json_document.py
@@ -0,0 +1,194 @@
+"""Decoding of JSON with every error named by its path, in words that suit an operator.
+
+The type-directed decoding is msgspec's; this module adds what its messages lack: all errors of a value
+instead of the first, the path of a syntax error, and wording without the names of Python types.
+"""
+
+from __future__ import annotations
+
+import re
+from typing import Any, Literal, get_args, get_origin
+
+import msgspec
+from msgspec import Raw, Struct
+
+from load_balancer.config.errors import SettingsFormatError, ValidationErrors, join_path, printable_line
+from load_balancer.config.steps import Steps
+
+TOKENS_PER_STEP = 2_000  # JSON tokens between two yields
+
+_JSON_TOKEN = re.compile(rb'"(?:[^"\\]|\\.)*+"?|[{}\[\],:]', re.DOTALL)
+_BYTE_OFFSET = re.compile(r" \(byte (\d+)\)$")
+_NOT_FINITE = re.compile(rb"-?(?:NaN|Infinity)")
+
+_PATH_SUFFIX = re.compile(r" - at `(?:key in )?\$\.?(.*)`$", re.DOTALL)
+_QUOTED_TYPE = re.compile(r"`([^`]*)`")
+_BOUND_SUFFIX = re.compile(r" (>=|<=) (-?[0-9]+)(?:\.0)?$")
+_BOUND_WORDS = {">=": "least", "<=": "most"}
+_TYPE_WORDS = {
+    "float": "a number",
+    "int": "a whole number",
+    "bool | int": "true or false",
+    "bool": "true or false",
+    "str": "text",
+    "str | null": "text",
+    "object": "an object",
+    "array": "a list",
+    "float | int | str": "a number or text",
+}
+
+
+def decode_document(data: bytes, value_type: Any, errors: ValidationErrors) -> Steps[Any]:
+    """Decode a whole JSON text in steps.
+
+    Returns:
+        The value, or None once an error has been added to `errors`.
+
+    Raises:
+        SettingsFormatError: The text is not JSON, or there are as many errors as are wanted.
+    """
+    try:
+        return msgspec.json.decode(data, type=value_type)
+    except RecursionError:
+        raise _nested_too_deep() from None
+    except msgspec.DecodeError as error:
+        type_error = error
+    try:
+        msgspec.json.decode(data, type=Raw)
+    except RecursionError:
+        raise _nested_too_deep() from None
+    except msgspec.DecodeError as error:  # a syntax error counts first, even if it stands further on
+        raise SettingsFormatError([(yield from syntax_error(data, error))]) from None
+    add_decode_errors(data, value_type, "", errors, type_error)
+    return None
+
+
+def decode_value(raw: Any, value_type: Any, path: str, errors: ValidationErrors) -> Any:
+    """Decode the JSON of the value at a path.
+
+    Returns:
+        The value, or None once an error has been added to `errors`.
+
+    Raises:
+        SettingsFormatError: There are as many errors as are wanted.
+    """
+    try:
+        return msgspec.json.decode(raw, type=value_type)
+    except (msgspec.DecodeError, RecursionError) as error:
+        add_decode_errors(raw, value_type, path, errors, error)
+        return None
+
+
+def add_decode_errors(
+    raw: Any, value_type: Any, path: str, errors: ValidationErrors, error: Exception
+) -> None:
+    """Add every error of a value that failed to decode with `error`: in an object, those of each field."""
+    if isinstance(error, RecursionError):
+        errors.add(path, "is nested too deep")
+    elif isinstance(value_type, type) and issubclass(value_type, Struct):
+        _add_field_errors(raw, value_type, path, errors)
+    else:
+        _add_value_error(value_type, path, errors, error)
+
+
+def _add_field_errors(raw: Any, model: type[Struct], path: str, errors: ValidationErrors) -> None:
+    parts: dict[str, Raw] | None = decode_value(raw, dict[str, Raw], path, errors)
+    if parts is None:
+        return
+    for field in msgspec.structs.fields(model):
+        field_path = join_path(path, field.encode_name)
+        if field.encode_name in parts:
+            decode_value(parts[field.encode_name], field.type, field_path, errors)
+        elif field.required:
+            errors.add(field_path, f"is missing; {_describe_expected(field.type)}")
+
+
+def _add_value_error(value_type: Any, path: str, errors: ValidationErrors, error: Exception) -> None:
+    message = str(error)
+    suffix = _PATH_SUFFIX.search(message)
+    if suffix:
+        path = join_path(path, suffix[1])
+        message = _PATH_SUFFIX.sub("", message)
+    if get_origin(value_type) is Literal:
+        actual = message.partition(", got ")[2] or message.removeprefix("Invalid enum value ")
+        message = f"{_describe_expected(value_type)}, got {actual}"
+    elif not isinstance(
+        error, msgspec.ValidationError
+    ):  # the syntax was checked before: a string is not UTF-8
+        message = "expected text in Unicode"
+    elif not message.startswith("Expected"):
+        message = f"{_describe_expected(value_type)}: {message}"
+    errors.add(path, _reword(message))
+
+
+def _describe_expected(value_type: Any) -> str:
+    """Say which values a type has, as msgspec would of a null."""
+    if get_origin(value_type) is Literal:
+        return f"expected {' or '.join(map(str, get_args(value_type)))}"
+    try:
+        msgspec.json.decode(b"null", type=value_type)
+    except msgspec.DecodeError as error:
+        return _reword(_PATH_SUFFIX.sub("", str(error))).partition(", got")[0]
+    return "expected a value"
+
+
+def _reword(message: str) -> str:
+    """Return a message of msgspec with words for the names of types and the signs of bounds."""
+    message = _QUOTED_TYPE.sub(lambda match: _TYPE_WORDS.get(match[1], match[1]), message)
+    bound = _BOUND_SUFFIX.search(message)
+    if bound:
+        message = f"{message[: bound.start()]} of at {_BOUND_WORDS[bound[1]]} {bound[2]}"
+    return message[:1].lower() + message[1:]
+
+
+def syntax_error(data: bytes, error: Exception, path: str = "") -> Steps[str]:
+    """Return one line on why a text is not JSON: the byte and the value where it goes wrong or ends."""
+    message = str(error)
+    offset_match = _BYTE_OFFSET.search(message)
+    offset = int(offset_match[1]) if offset_match else len(data)
+    error_path = join_path(path, (yield from json_path_at(data, offset)))
+    not_finite = _NOT_FINITE.match(data, max(0, offset - 1)) or _NOT_FINITE.match(data, offset)
+    if not_finite:
+        return printable_line(f"{error_path}: expected a finite number, got {not_finite[0].decode()}")
+    if offset_match:
+        reason = _BYTE_OFFSET.sub("", message).removeprefix("JSON is malformed: ")
+    else:
+        reason = "it ends in the middle"
+    within = f", in {error_path}" if error_path else ""
+    return printable_line(f"not JSON: {reason} at byte {offset}{within}; expected an object")
+
+
+def json_path_at(data: bytes, end: int) -> Steps[str]:
+    """Return the path of the innermost value that is open at a byte of a JSON text."""
+    open_values: list[str | int] = []  # the current key of an object, the current index of a list
+    previous_token = b""
+    for count, match in enumerate(_JSON_TOKEN.finditer(data, 0, end), start=1):
+        token: bytes = match[0]
+        _apply_token(open_values, token, previous_token)
+        previous_token = token
+        if count % TOKENS_PER_STEP == 0:
+            yield
+    path = ""
+    for part in open_values:
+        path = join_path(path, f"[{part}]" if isinstance(part, int) else part)
+    return path
+
+
+def _apply_token(open_values: list[str | int], token: bytes, previous_token: bytes) -> None:
+    if token == b"{":
+        open_values.append("")
+    elif token == b"[":
+        open_values.append(0)
+    elif not open_values:
+        return
+    elif token in (b"}", b"]"):
+        open_values.pop()
+    elif token == b",":
+        current = open_values[-1]
+        open_values[-1] = current + 1 if isinstance(current, int) else ""
+    elif token == b":" and isinstance(open_values[-1], str):
+        open_values[-1] = previous_token[1:-1].decode("utf-8", "replace")
+
+
+def _nested_too_deep() -> SettingsFormatError:
+    return SettingsFormatError(["not JSON that can be read: nested too deep; expected an object"])
--- /dev/null
+++ b/load_balancer/config/models.py
@@ -0,0 +1,193 @@
+"""Models of the settings object, and the operators' vocabulary for it.
+
+Operators write settings in the words of the simulator's first message: `lanes`, `giveUpUs`, `tipMultiple`.
+This module is the one place that maps them: fields have the names of `load_balancer.decisions.settings`, and
+`msgspec.field(name=...)` gives the word in JSON where it is another one. Times are in microseconds. The order
+of the fields is the order in which they are printed.
+
+Whole numbers may be written as 1000.0, so numbers are read as floats. Names that a model does not know are
+ignored.
+"""
+
+from __future__ import annotations
+
+from typing import Annotated, Any, Literal
+
+import msgspec
+from msgspec import UNSET, Meta, Raw, Struct, UnsetType, field
+
+from load_balancer.decisions.settings import DeduplicationScope, Idempotency, LoadReportMode
+
+NonNegative = Annotated[float, Meta(ge=0)]
+AtLeastOne = Annotated[float, Meta(ge=1)]
+Share = Annotated[float, Meta(ge=0, le=1)]
+Flag = bool | int  # 0 and 1 are accepted
+
+IdempotencyWord = Literal["free", "guarded", "single_shot"]
+IDEMPOTENCY: dict[IdempotencyWord, Idempotency] = {
+    "free": Idempotency.IDEMPOTENT,
+    "guarded": Idempotency.IDEMPOTENCY_KEY,
+    "single_shot": Idempotency.NON_IDEMPOTENT,
+}
+
+DeduplicationScopeWord = Literal["all", "zone", "cell"]
+DEDUPLICATION_SCOPES: dict[DeduplicationScopeWord, DeduplicationScope] = {
+    "all": DeduplicationScope.ALL,
+    "zone": DeduplicationScope.ZONE,
+    "cell": DeduplicationScope.GROUP,
+}
+
+LoadReportModeWord = Literal["silent", "piggyback", "pull"]
+LOAD_REPORT_MODES: dict[LoadReportModeWord, LoadReportMode] = {
+    "silent": LoadReportMode.NONE,
+    "piggyback": LoadReportMode.RESPONSES,
+    "pull": LoadReportMode.HEALTH_CHECKS,
+}
+
+WEIGHT_BY_WORK = "work"  # the other word is "request"
+ENDPOINTS_ARE_PUSHED = "pushed"  # the other word is "on_request"
+LOAD_DEPENDENT_WEIGHTS = "live"  # any other value says that weights are fixed
+
+
+class SettingsObject(Struct, rename="camel", gc=False, frozen=True):
+    """Base class of the objects within the settings."""
+
+
+class RequestClassModel(SettingsObject, frozen=True):
+    """One request class."""
+
+    client_timeout_us: AtLeastOne = field(name="giveUpUs")
+    latency_objective_us: AtLeastOne | UnsetType = field(default=UNSET, name="aimUs")
+    name: str = ""
+    priority_weight: NonNegative = field(default=1.0, name="value")
+    late_weight_share: Share = field(default=0.0, name="lateValue")
+    idempotency: IdempotencyWord = field(default="single_shot", name="effect")
+    deduplication_scope: DeduplicationScopeWord = field(default="all", name="group")
+    deduplication_window_us: NonNegative = field(default=0.0, name="windowUs")
+    ordered: Flag = field(default=False, name="sequential")
+    streamed: Flag = False
+    latency_objective_stretch: NonNegative = field(default=0.0, name="aimStretch")
+
+
+class TenantModel(SettingsObject, frozen=True):
+    """One tenant."""
+
+    name: str = ""
+    quota_per_s: NonNegative = field(default=0.0, name="allowancePerS")
+    share: Share = field(default=0.0, name="fraction")
+
+
+class ObjectiveModel(SettingsObject, frozen=True):
+    """How the parts of good service are weighed."""
+
+    overall: NonNegative = field(default=1.0, name="whole")
+    worst_window: NonNegative = 0.0
+    worst_class: NonNegative = 0.0
+    worst_tenant: NonNegative = 0.0
+
+
+class PricesModel(SettingsObject, frozen=True):
+    """What each unit of cost takes off the result."""
+
+    cross_zone: NonNegative = 0.0
+    waste: NonNegative = 0.0
+    late_failure: NonNegative = field(default=0.0, name="lateFail")
+    connection: NonNegative = 0.0
+    handshake: NonNegative = 0.0
+    health_check: NonNegative = field(default=0.0, name="probe")
+    peer_message: NonNegative = field(default=0.0, name="peer")
+    endpoint_list_lines: NonNegative = field(default=0.0, name="membershipMode")
+    origin: NonNegative = 0.0
+    migrations: NonNegative = field(default=0.0, name="moves")
+    fleet: NonNegative = 0.0
+
+
+class CapabilitiesModel(SettingsObject, frozen=True):
+    """What a gateway may do, and its limits."""
+
+    max_attempts: AtLeastOne = 3.0
+    may_cancel: Flag = False
+    may_hedge: Flag = field(default=False, name="secondCopies")
+    sends_retry_after: Flag = field(default=False, name="retryAfter")
+    max_retry_after_us: NonNegative = 1_000_000.0
+    may_check_health: Flag = field(default=False, name="probes")
+    may_message_peers: Flag = field(default=False, name="peers")
+    requests_per_connection: AtLeastOne = field(default=1.0, name="multiplex")
+    connect_timeout_us: NonNegative = 0.0
+    idle_connection_timeout_us: NonNegative = field(default=0.0, name="keepaliveUs")
+    max_open_requests: NonNegative = field(default=0.0, name="mostHeld")
+    cpu_us_per_s: NonNegative = 0.0
+    cpu_us_per_request: NonNegative = 0.0
+
+
+class EndpointContractModel(SettingsObject, frozen=True):
+    """What endpoints and service discovery are known to do, and what they ask for."""
+
+    max_poll_interval_us: NonNegative = field(default=10_000_000.0, name="mustAskInUs")
+    slow_start_capacity: Share = field(default=1.0, name="startCapacity")
+    slow_start_us: NonNegative = field(default=0.0, name="warmAfterUs")
+    overload_multiple: AtLeastOne = field(default=1.0, name="tipMultiple")
+    overload_window_us: AtLeastOne = field(default=1_000_000.0, name="fallUs")
+    rejected_may_have_run: Flag = field(default=False, name="fullUnproven")
+    ordered_key_delay_us: NonNegative = field(default=0.0, name="keyQuietUs")
+    drain_grace_us: NonNegative = field(default=0.0, name="stopSendingWithinUs")
+    answer_slack_us: NonNegative = 0.0
+
+
+class ClientsModel(SettingsObject, frozen=True):
+    """What clients do."""
+
+    mark_retries: Flag = field(default=False, name="marksRetry")
+
+
+class EndpointFeaturesModel(SettingsObject, frozen=True):
+    """What the endpoints of the service do besides answering."""
+
+    key_affinity: Flag = field(default=False, name="warmKeys")
+    propagate_deadlines: Flag = field(default=False, name="passesDeadline")
+
+
+class LoadReportModel(SettingsObject, frozen=True):
+    """Where load reports come from, and the names of their values."""
+
+    mode: LoadReportModeWord = field(default="silent", name="how")
+    fields: list[str] = []
+
+
+class SettingsModel(SettingsObject, frozen=True):
+    """The settings object; the long lists are left raw, to be read piece by piece."""
+
+    classes: list[Raw] = field(default_factory=list, name="lanes")
+    tenants: list[Raw] = []
+    zones: list[str] = []
+    endpoint_kinds: list[str] = field(default_factory=list, name="shapes")
+    tiers: list[str] = []
+    objective: ObjectiveModel = field(default=ObjectiveModel(), name="objectiveMix")
+    prices: PricesModel = PricesModel()
+    capabilities: CapabilitiesModel = field(default=CapabilitiesModel(), name="caps")
+    contract: EndpointContractModel = EndpointContractModel()
+    clients: ClientsModel = ClientsModel()
+    endpoint_features: EndpointFeaturesModel = field(default=EndpointFeaturesModel(), name="familyInfo")
+    load_reports: LoadReportModel = field(default=LoadReportModel(), name="report")
+    weight_basis: Literal["request", "work"] = field(default="request", name="worthBy")
+    endpoint_list_mode: Literal["pushed", "on_request"] = field(default="pushed", name="membershipMode")
+    weights: Any = None
+    gateways: AtLeastOne = field(default=1.0, name="balancers")
+    gateway_index: NonNegative = field(default=0.0, name="index")
+    zone: NonNegative = 0.0
+    tier: NonNegative = field(default=0.0, name="stage")
+    over_quota_weight_share: Share = field(default=1.0, name="overShareWorth")
+
+
+def json_name(model: type[Struct], field_name: str) -> str:
+    """Return the name that a field of a model has in JSON."""
+    names = {each.name: each.encode_name for each in msgspec.structs.fields(model)}
+    return names[field_name]
+
+
+CLASSES_KEY = json_name(SettingsModel, "classes")
+TENANTS_KEY = json_name(SettingsModel, "tenants")
+ZONES_KEY = json_name(SettingsModel, "zones")
+ZONE_KEY = json_name(SettingsModel, "zone")
+GATEWAYS_KEY = json_name(SettingsModel, "gateways")
+GATEWAY_INDEX_KEY = json_name(SettingsModel, "gateway_index")
--- /dev/null
+++ b/load_balancer/config/steps.py
@@ -0,0 +1,21 @@
+"""Work in steps: generators that yield often, so that an event loop can serve requests in between."""
+
+from __future__ import annotations
+
+from collections.abc import Generator
+from typing import TypeVar
+
+ITEMS_PER_STEP = 200  # list items between two yields: well under a millisecond
+
+T = TypeVar("T")
+Steps = Generator[None, None, T]
+
+
+def run_to_completion(steps: Steps[T]) -> T:
+    """Run all steps without a pause and return their result."""
+    while True:
+        try:
+            next(steps)
+        except StopIteration as end:
+            result: T = end.value
+            return result
--- a/load_balancer/gateway/client_server.py
+++ b/load_balancer/gateway/client_server.py
@@ -15,7 +15,8 @@
 import httptools
 
 from load_balancer.config.file import Config
-from load_balancer.config.reader import STEP, Steps, run_to_completion
+from load_balancer.config.steps import ITEMS_PER_STEP as STEP
+from load_balancer.config.steps import Steps, run_to_completion
 from load_balancer.decisions.settings import Idempotency
 from load_balancer.gateway.event_log import log_event
 from load_balancer.gateway.proxy import (
--- a/load_balancer/gateway/proxy.py
+++ b/load_balancer/gateway/proxy.py
@@ -46,7 +46,7 @@
 from load_balancer.gateway.discovery import DiscoveryClient, WatchEvent
 from load_balancer.gateway.event_log import log_event
 from load_balancer.gateway.upstream_pool import Response, UpstreamAttempt, UpstreamPool
-from load_balancer.simulator.codec import parse_load
+from load_balancer.load_report_format import parse_load_report as parse_load
 
 # Taken off the client's time: its request was on the way before it came here, and so will the answer be.
 TRANSIT_US = 4_000
--- /dev/null
+++ b/load_balancer/load_report_format.py
@@ -0,0 +1,22 @@
+"""The text form of a load report: `name:value` pairs with commas between them."""
+
+from __future__ import annotations
+
+import math
+
+
+def parse_load_report(text: str) -> tuple[tuple[str, float], ...]:
+    """Return the names and values of a load report.
+
+    Load reports are advice: a value that is not a finite number is left out.
+    """
+    pairs: list[tuple[str, float]] = []
+    for part in text.split(","):
+        name, _, value = part.partition(":")
+        try:
+            number = float(value)
+        except ValueError:
+            continue
+        if math.isfinite(number):
+            pairs.append((name, number))
+    return tuple(pairs)
--- a/load_balancer/simulator/adapter.py
+++ b/load_balancer/simulator/adapter.py
@@ -1,126 +1,163 @@
-"""Runs balancers on the bench's wire: batches from standard input, one reply each to standard output.
+"""Runs balancers for the simulator: batches from standard input, one reply to each on standard output.
 
-Every instance has a Balancer of its own; nothing is shared and nothing is decided here. A line that cannot be
-read is named on standard error and skipped.
+Each instance has a `Balancer` of its own. Nothing is shared between them, and nothing is decided here. A line
+that cannot be read is reported on standard error and skipped.
 """
 
 from __future__ import annotations
 
 import gc
 import sys
+from collections.abc import Callable
 from typing import TextIO
 
 from load_balancer.decisions.balancer import Balancer
 from load_balancer.decisions.endpoint import Endpoint, ListKind
 from load_balancer.decisions.events import EndpointListReceived, Event
 from load_balancer.simulator.codec import (
-    LIST_KINDS,
     PARSERS,
     Fields,
-    WireError,
+    WireFormatError,
     format_action,
-    parse_server,
+    parse_endpoint,
     parse_settings,
     split_line,
 )
+from load_balancer.simulator.vocabulary import LIST_KINDS, Field, Message, Reply
+
+MAX_REPORTED_LENGTH = 200  # characters of a bad line that are reported
 
 
 class SimulatorAdapter:
+    """Reads the simulator's lines and answers each batch.
+
+    Args:
+        source: Where the lines come from.
+        sink: Where replies go.
+        errors: Where lines that cannot be read are reported.
+    """
+
     def __init__(self, source: TextIO, sink: TextIO, errors: TextIO) -> None:
-        self.source, self.sink, self.errors = source, sink, errors
-        self.balancers: dict[str, Balancer] = {}
-        self.tables: dict[str, tuple[Endpoint, ...]] = {}
-        self.instance = ""
-        self.spoken_for = ""
-        self.now_us = 0
-        self.line_number = 0
-        self.reply: list[str] = []
+        self._source = source
+        self._sink = sink
+        self._errors = errors
+        self._balancers: dict[str, Balancer] = {}
+        self._endpoint_tables: dict[str, tuple[Endpoint, ...]] = {}
+        self._instance = ""
+        self._reply_instance = ""  # the instance that the reply's last lines come from
+        self._now_us = 0
+        self._line_number = 0
+        self._reply: list[str] = []
+        self._handlers: dict[str, Callable[[Fields], None]] = {
+            Message.BATCH_STARTED: self._start_batch,
+            Message.INSTANCE_SELECTED: self._select_instance,
+            Message.ENDPOINT_TABLE: self._read_endpoint_table,
+            Message.ENDPOINT_LIST_RECEIVED: self._deliver_endpoint_list,
+            Message.INSTANCE_STARTED: self._start_instance,
+            Message.INSTANCE_STOPPED: self._stop_instance,
+        }
 
     def run(self) -> None:
-        for line in self.source:
-            self.line_number += 1
+        """Read lines until the source ends."""
+        for line in self._source:
+            self._line_number += 1
             line = line.rstrip("\r\n")
             try:
-                self.read_line(line)
-            except KeyError as error:
-                self.complain(line, f"field or value {error} is missing or unknown")
-            except ValueError as error:
-                self.complain(line, str(error))
-
-    def complain(self, line: str, why: str) -> None:
-        print(f"load_balancer: line {self.line_number}: {why}: {line[:200]}", file=self.errors, flush=True)
-
-    def read_line(self, line: str) -> None:
-        if line == "go":
-            self.finish_batch()
+                self._read_line(line)
+            except (KeyError, ValueError) as error:
+                self._report(line, error)
+
+    def _report(self, line: str, error: KeyError | ValueError) -> None:
+        if isinstance(error, KeyError):
+            reason = f"field or value {error} is missing or unknown"
+        else:
+            reason = str(error)
+        shown = line[:MAX_REPORTED_LENGTH]
+        message = f"load_balancer: line {self._line_number}: {reason}: {shown}"
+        print(message, file=self._errors, flush=True)
+
+    def _read_line(self, line: str) -> None:
+        if line == Message.BATCH_ENDED:
+            self._finish_batch()
             return
         if not line:
             return
         name, fields = split_line(line)
         parser = PARSERS.get(name)
+        handler = self._handlers.get(name)
         if parser is not None:
-            self.deliver(parser(fields))
-        elif name == "begin_batch":
-            self.reply, self.instance, self.spoken_for = [], "", ""
-            self.now_us = int(fields["simTimeUs"])
-        elif name == "instance":
-            self.instance = ""  # a malformed name must not leave events to the one before
-            self.instance = fields["i"]
-        elif name == "inventory":
-            self.read_inventory(fields)
-        elif name == "registry":
-            kind = LIST_KINDS[fields["how"]]
-            servers = () if kind is ListKind.ERROR else self.tables[fields["table"]]
-            self.deliver(EndpointListReceived(kind, servers))
-        elif name == "launch":
-            self.balancers.pop(self.instance, None)
-            if not self.instance:
-                raise WireError("launch outside any instance")
-            settings = parse_settings(fields["bootInfo"])
-            self.balancers[self.instance] = Balancer(settings, int(fields["prng"]))
-        elif name == "destroy":
-            if self.balancers.pop(self.instance, None) is None:
-                raise WireError(f"unknown instance '{self.instance}'")
+            self._deliver(parser(fields))
+        elif handler is not None:
+            handler(fields)
         else:
-            raise WireError("unknown event")
-
-    def read_inventory(self, fields: Fields) -> None:
-        members: list[Endpoint] = []
-        for _ in range(int(fields["members"])):
-            entry = self.source.readline()
-            self.line_number += 1
-            entry = entry.rstrip("\r\n")
+            raise WireFormatError("unknown event")
+
+    def _start_batch(self, fields: Fields) -> None:
+        self._reply = []
+        self._instance = ""
+        self._reply_instance = ""
+        self._now_us = int(fields[Field.TIME_US])
+
+    def _finish_batch(self) -> None:
+        self._reply.append(f"{Reply.BATCH_ENDED}\n")
+        self._sink.write("\n".join(self._reply))
+        self._sink.flush()
+        self._reply = []
+
+    def _select_instance(self, fields: Fields) -> None:
+        self._instance = ""  # after a line without a name, events go to no instance
+        self._instance = fields[Field.INSTANCE]
+
+    def _start_instance(self, fields: Fields) -> None:
+        self._balancers.pop(self._instance, None)
+        if not self._instance:
+            raise WireFormatError("launch outside any instance")
+        settings = parse_settings(fields[Field.SETTINGS])
+        self._balancers[self._instance] = Balancer(settings, int(fields[Field.SEED]))
+
+    def _stop_instance(self, _fields: Fields) -> None:
+        if self._balancers.pop(self._instance, None) is None:
+            raise WireFormatError(f"unknown instance '{self._instance}'")
+
+    def _read_endpoint_table(self, fields: Fields) -> None:
+        endpoints: list[Endpoint] = []
+        for _ in range(int(fields[Field.ENDPOINT_COUNT])):
+            line = self._source.readline()
+            self._line_number += 1
+            line = line.rstrip("\r\n")
             try:
-                name, entry_fields = split_line(entry)
-                if name != "host":
-                    raise WireError("not a list entry")
-                members.append(parse_server(entry_fields))
-            except KeyError as error:
-                self.complain(entry, f"field or value {error} is missing or unknown")
-            except ValueError as error:
-                self.complain(entry, str(error))
-        self.tables[fields["table"]] = tuple(members)
-
-    def deliver(self, event: Event) -> None:
-        balancer = self.balancers.get(self.instance)
+                endpoints.append(_parse_endpoint_line(line))
+            except (KeyError, ValueError) as error:
+                self._report(line, error)
+        self._endpoint_tables[fields[Field.TABLE]] = tuple(endpoints)
+
+    def _deliver_endpoint_list(self, fields: Fields) -> None:
+        kind = LIST_KINDS[fields[Field.LIST_KIND]]
+        endpoints = () if kind is ListKind.ERROR else self._endpoint_tables[fields[Field.TABLE]]
+        self._deliver(EndpointListReceived(kind, endpoints))
+
+    def _deliver(self, event: Event) -> None:
+        balancer = self._balancers.get(self._instance)
         if balancer is None:
-            raise WireError(f"unknown instance '{self.instance}'")
-        actions = balancer.handle(self.now_us, event)
+            raise WireFormatError(f"unknown instance '{self._instance}'")
+        actions = balancer.handle(self._now_us, event)
         if not actions:
             return
-        if self.spoken_for != self.instance:
-            self.spoken_for = self.instance
-            self.reply.append(f"by i={self.instance}")
-        self.reply.extend(map(format_action, actions))
+        if self._reply_instance != self._instance:
+            self._reply_instance = self._instance
+            self._reply.append(f"{Reply.INSTANCE_SELECTED} {Field.INSTANCE}={self._instance}")
+        self._reply.extend(map(format_action, actions))
+
 
-    def finish_batch(self) -> None:
-        self.reply.append("next\n")
-        self.sink.write("\n".join(self.reply))
-        self.sink.flush()
-        self.reply = []
+def _parse_endpoint_line(line: str) -> Endpoint:
+    name, fields = split_line(line)
+    if name != Message.ENDPOINT:
+        raise WireFormatError("not a list entry")
+    return parse_endpoint(fields)
 
 
 def main() -> int:
+    """Run the adapter on the standard streams; returns the exit code."""
     gc.freeze()  # what the imports made is never garbage
     sys.stdin.reconfigure(encoding="utf-8", errors="replace", newline="\n")  # type: ignore[union-attr]
     SimulatorAdapter(sys.stdin, sys.stdout, sys.stderr).run()
--- a/load_balancer/simulator/codec.py
+++ b/load_balancer/simulator/codec.py
@@ -1,4 +1,4 @@
-"""The bench's text wire: lines to events and settings, actions to lines. Parsing and formatting only."""
+"""The text form of the simulator's wire: lines to events and settings, actions to lines."""
 
 from __future__ import annotations
 
@@ -9,13 +9,10 @@
 
 from msgspec import Raw
 
-from load_balancer.config.reader import (
-    Steps,
-    ValidationErrors,
-    decode_document,
-    read_settings,
-    run_to_completion,
-)
+from load_balancer.config.errors import SettingsFormatError, ValidationErrors
+from load_balancer.config.json_document import decode_document
+from load_balancer.config.settings_reader import read_settings
+from load_balancer.config.steps import Steps, run_to_completion
 from load_balancer.decisions.actions import (
     Action,
     Cancel,
@@ -30,202 +27,208 @@
     StartHealthCheck,
     SubscribeEndpoints,
 )
-from load_balancer.decisions.endpoint import Endpoint, EndpointStatus, ListKind
+from load_balancer.decisions.endpoint import Endpoint
 from load_balancer.decisions.events import (
     AttemptEnded,
     ClientDisconnected,
     Event,
     HealthCheckEnded,
-    Outcome,
     PeerMessageReceived,
     RequestArrived,
     StreamStarted,
     TimerFired,
 )
 from load_balancer.decisions.settings import Settings
+from load_balancer.errors import LoadBalancerError, SettingsError
+from load_balancer.load_report_format import parse_load_report
+from load_balancer.simulator.vocabulary import (
+    ALL_GATEWAYS,
+    DEFAULT_STATUS,
+    ENDPOINT_STATUSES,
+    NO_DATA,
+    OUTCOMES,
+    TRUE,
+    Field,
+    Message,
+    Reply,
+)
 
 Fields = Mapping[str, str]
 
-STATUSES = {
-    "Ready": EndpointStatus.READY,
-    "Terminating": EndpointStatus.DRAINING,
-    "Gone": EndpointStatus.GONE,
-}
-LIST_KINDS = {
-    "diff": ListKind.DELTA,
-    "snapshot": ListKind.COMPLETE,
-    "disk": ListKind.CACHED,
-    "error": ListKind.ERROR,
-}
-OUTCOMES = {
-    "200": Outcome.OK,
-    "502": Outcome.ERROR,
-    "429": Outcome.REJECTED,
-    "408": Outcome.TIMEOUT,
-    "521": Outcome.CONNECT_FAILED,
-    "520": Outcome.RESET,
-    "444": Outcome.CANCELLED,
-    "409": Outcome.NOT_SENT,
-}
-TEXT_FIELDS = {"launch": " bootInfo="}
+LAST_FIELD = {Message.INSTANCE_STARTED: Field.SETTINGS}  # a field that takes the rest of the line, spaces too
 
 
-class WireError(ValueError):
+class WireFormatError(LoadBalancerError, ValueError):
     """A line that cannot be read; the message says why."""
 
 
 def split_line(line: str) -> tuple[str, dict[str, str]]:
-    """Take a line apart into its message name and its fields."""
+    """Return the message name and the fields of a line.
+
+    Raises:
+        WireFormatError: A field has no `=`.
+    """
     name, _, rest = line.partition(" ")
     fields: dict[str, str] = {}
-    text_mark = TEXT_FIELDS.get(name)
-    if text_mark is not None:
-        before, mark, text = (" " + rest).partition(text_mark)
+    last_field = LAST_FIELD.get(name)
+    if last_field is not None:
+        rest, mark, text = f" {rest}".partition(f" {last_field}=")
         if mark:
-            fields[text_mark.strip(" =")] = text
-        rest = before.strip()
+            fields[last_field] = text
     for part in rest.split():
         key, mark, value = part.partition("=")
         if not mark:
-            raise WireError(f"'{part}' is not name=value")
+            raise WireFormatError(f"'{part}' is not name=value")
         fields[key] = value
     return name, fields
 
 
 def parse_settings(text: str) -> Settings:
-    """Read the settings object of a launch; unknown keys are ignored, missing optional ones have defaults."""
+    """Return the settings of an instance that starts, from the JSON text of the settings object.
+
+    Raises:
+        WireFormatError: The settings cannot be used.
+    """
     try:
-        data = text.encode()
-        return run_to_completion(read_alone(data))
-    except ValueError as error:
-        raise WireError(f"settings cannot be used: {error}") from None
+        return run_to_completion(_read_settings(text.encode()))
+    except (SettingsFormatError, SettingsError, UnicodeEncodeError) as error:
+        raise WireFormatError(f"settings cannot be used: {error}") from None
 
 
-def read_alone(data: bytes) -> Steps[Settings]:
+def _read_settings(data: bytes) -> Steps[Settings]:
     raw = yield from decode_document(data, Raw, ValidationErrors())
     settings, _ = yield from read_settings(raw)
     return settings
 
 
-def parse_load(text: str) -> tuple[tuple[str, float], ...]:
-    """A load report; a value that is not a number is left out: reports are advice."""
-    pairs: list[tuple[str, float]] = []
-    for part in text.split(","):
-        name, _, value = part.partition(":")
-        try:
-            number = float(value)
-        except ValueError:
-            continue
-        if math.isfinite(number):
-            pairs.append((name, number))
-    return tuple(pairs)
-
-
-def parse_server(fields: Fields) -> Endpoint:
-    if not 0.0 < float(fields.get("heft", "1")) < math.inf:
-        raise WireError("heft is not a finite number above 0")
+def parse_endpoint(fields: Fields) -> Endpoint:
+    """Return one entry of an endpoint list."""
+    weight = float(fields.get(Field.WEIGHT, "1"))
+    if not 0.0 < weight < math.inf:
+        raise WireFormatError(f"{Field.WEIGHT} is not a finite number above 0")
     return Endpoint(
-        id=int(fields["host"]),
-        status=STATUSES[fields.get("status", "Ready")],
-        weight=float(fields.get("heft", "1")),
-        zone=int(fields.get("campus", "0")),
-        group=int(fields.get("group", "0")),
-        kind=int(fields.get("classOfHost", "0")),
-        started_us=int(fields.get("sinceUs", "0")),
+        id=int(fields[Field.ENDPOINT]),
+        status=ENDPOINT_STATUSES[fields.get(Field.STATUS, DEFAULT_STATUS)],
+        weight=weight,
+        zone=int(fields.get(Field.ZONE, "0")),
+        group=int(fields.get(Field.GROUP, "0")),
+        kind=int(fields.get(Field.KIND, "0")),
+        started_us=int(fields.get(Field.STARTED_US, "0")),
     )
 
 
-def parse_incoming(fields: Fields) -> RequestArrived:
-    key, work = fields.get("affinity"), fields.get("costUs")
+def _parse_request_arrived(fields: Fields) -> RequestArrived:
+    key = fields.get(Field.KEY)
+    work_us = fields.get(Field.WORK_US)
     return RequestArrived(
-        fields["requestId"],
-        int(fields.get("priority", "0")),
-        int(fields["graceUs"]),
-        int(key, 16) if key is not None else None,
-        int(work) if work is not None else None,
-        fields.get("retry") == "1",
-        int(fields.get("customer", "0")),
-        fields.get("isWrite") == "1",
+        request_id=fields[Field.REQUEST_ID],
+        request_class=int(fields.get(Field.REQUEST_CLASS, "0")),
+        remaining_timeout_us=int(fields[Field.CLIENT_TIMEOUT_US]),
+        key=int(key, 16) if key is not None else None,
+        work_us=int(work_us) if work_us is not None else None,
+        is_retry=fields.get(Field.RETRY) == TRUE,
+        tenant=int(fields.get(Field.TENANT, "0")),
+        is_write=fields.get(Field.IS_WRITE) == TRUE,
     )
 
 
-def parse_outcome(fields: Fields) -> AttemptEnded:
+def _parse_attempt_ended(fields: Fields) -> AttemptEnded:
     return AttemptEnded(
-        fields["requestId"],
-        int(fields["shot"]),
-        int(fields["host"]),
-        OUTCOMES[fields["verdict"]],
-        int(fields.get("durationUs", "0")),
-        fields.get("ended") == "1",
-        parse_load(fields["pressure"]) if "pressure" in fields else (),
+        request_id=fields[Field.REQUEST_ID],
+        attempt=int(fields[Field.ATTEMPT]),
+        endpoint_id=int(fields[Field.ENDPOINT]),
+        outcome=OUTCOMES[fields[Field.OUTCOME]],
+        latency_us=int(fields.get(Field.LATENCY_US, "0")),
+        finished=fields.get(Field.FINISHED) == TRUE,
+        load_report=parse_load_report(fields.get(Field.LOAD_REPORT, "")),
     )
 
 
-def parse_dropped(fields: Fields) -> ClientDisconnected:
-    return ClientDisconnected(fields["requestId"])
+def _parse_client_disconnected(fields: Fields) -> ClientDisconnected:
+    return ClientDisconnected(fields[Field.REQUEST_ID])
+
 
+def _parse_stream_started(fields: Fields) -> StreamStarted:
+    return StreamStarted(fields[Field.REQUEST_ID], int(fields[Field.ATTEMPT]))
 
-def parse_streaming(fields: Fields) -> StreamStarted:
-    return StreamStarted(fields["requestId"], int(fields["shot"]))
 
+def _parse_timer_fired(fields: Fields) -> TimerFired:
+    return TimerFired(int(fields[Field.TOKEN]))
 
-def parse_pong(fields: Fields) -> HealthCheckEnded:
+
+def _parse_health_check_ended(fields: Fields) -> HealthCheckEnded:
     return HealthCheckEnded(
-        int(fields["host"]),
-        OUTCOMES[fields["verdict"]],
-        int(fields.get("durationUs", "0")),
-        parse_load(fields.get("pressure", "")),
+        endpoint_id=int(fields[Field.ENDPOINT]),
+        outcome=OUTCOMES[fields[Field.OUTCOME]],
+        latency_us=int(fields.get(Field.LATENCY_US, "0")),
+        load_report=parse_load_report(fields.get(Field.LOAD_REPORT, "")),
     )
 
 
-def parse_inbox(fields: Fields) -> PeerMessageReceived:
-    text = fields["bytes"]
+def _parse_peer_message_received(fields: Fields) -> PeerMessageReceived:
+    text = fields[Field.DATA]
     try:
-        data = b"" if text == "-" else base64.b64decode(text, validate=True)
+        data = b"" if text == NO_DATA else base64.b64decode(text, validate=True)
     except binascii.Error as error:
-        raise WireError(f"bytes are not base64: {error}") from None
-    return PeerMessageReceived(int(fields["src"]), data)
-
-
-def parse_reminder(fields: Fields) -> TimerFired:
-    return TimerFired(int(fields["keyBack"]))
+        raise WireFormatError(f"{Field.DATA} are not base64: {error}") from None
+    return PeerMessageReceived(int(fields[Field.GATEWAY_INDEX]), data)
 
 
 PARSERS: dict[str, Callable[[Fields], Event]] = {
-    "incoming": parse_incoming,
-    "outcome": parse_outcome,
-    "dropped": parse_dropped,
-    "streaming": parse_streaming,
-    "reminder": parse_reminder,
-    "pong": parse_pong,
-    "inbox": parse_inbox,
+    Message.REQUEST_ARRIVED: _parse_request_arrived,
+    Message.ATTEMPT_ENDED: _parse_attempt_ended,
+    Message.CLIENT_DISCONNECTED: _parse_client_disconnected,
+    Message.STREAM_STARTED: _parse_stream_started,
+    Message.TIMER_FIRED: _parse_timer_fired,
+    Message.HEALTH_CHECK_ENDED: _parse_health_check_ended,
+    Message.PEER_MESSAGE_RECEIVED: _parse_peer_message_received,
 }
+"""What makes an event of a line's fields, by message name.
+
+Each raises KeyError for a field that is missing or a word that is unknown, and ValueError for a bad number.
+"""
 
 
 def format_action(action: Action) -> str:
+    """Return the line that asks the simulator for an action."""
     match action:
-        case Send():
-            request = f"requestId={action.request_id} maxWaitUs={action.timeout_us}"
-            return f"pass_on {request} host={action.endpoint_id}"
+        case Send() | Reject() | Fail() | Cancel():
+            return _format_request_action(action)
+        case SubscribeEndpoints() | PollEndpoints() | StartHealthCheck() | CloseIdleConnections():
+            return _format_endpoint_action(action)
         case SetTimer():
-            return f"notify_me dueAtUs={action.due_us} keyBack={action.token}"
+            return f"{Reply.SET_TIMER} {Field.DUE_US}={action.due_us} {Field.TOKEN}={action.token}"
+        case SendPeerMessage():
+            receiver = ALL_GATEWAYS if action.gateway_index is None else action.gateway_index
+            data = base64.b64encode(action.data).decode() or NO_DATA
+            return f"{Reply.SEND_PEER_MESSAGE} {Field.RECEIVER}={receiver} {Field.DATA}={data}"
+        case LogEvent():
+            return f"{Reply.LOG_EVENT} {Field.LOG_LINE}={action.line}"
+
+
+def _format_request_action(action: Send | Reject | Fail | Cancel) -> str:
+    request = f"{Field.REQUEST_ID}={action.request_id}"
+    match action:
+        case Send():
+            timeout = f"{Field.TIMEOUT_US}={action.timeout_us}"
+            return f"{Reply.SEND} {request} {timeout} {Field.ENDPOINT}={action.endpoint_id}"
         case Reject():
-            return f"bounce requestId={action.request_id} comeBackUs={action.retry_after_us}"
+            return f"{Reply.REJECT} {request} {Field.RETRY_AFTER_US}={action.retry_after_us}"
         case Fail():
-            return f"surrender requestId={action.request_id}"
+            return f"{Reply.FAIL} {request}"
         case Cancel():
-            return f"retract requestId={action.request_id} shot={action.attempt}"
+            return f"{Reply.CANCEL} {request} {Field.ATTEMPT}={action.attempt}"
+
+
+def _format_endpoint_action(
+    action: SubscribeEndpoints | PollEndpoints | StartHealthCheck | CloseIdleConnections,
+) -> str:
+    match action:
         case SubscribeEndpoints():
-            return f"track on={int(action.active)}"
+            return f"{Reply.SUBSCRIBE_ENDPOINTS} {Field.SUBSCRIBED}={int(action.active)}"
         case PollEndpoints():
-            return "snapshot"
+            return Reply.POLL_ENDPOINTS
         case StartHealthCheck():
-            return f"ask_load host={action.endpoint_id}"
+            return f"{Reply.START_HEALTH_CHECK} {Field.ENDPOINT}={action.endpoint_id}"
         case CloseIdleConnections():
-            return f"hang_up host={action.endpoint_id}"
-        case SendPeerMessage():
-            dest = -1 if action.gateway_index is None else action.gateway_index
-            data = base64.b64encode(action.data).decode() or "-"
-            return f"broadcast_to dest={dest} bytes={data}"
-        case LogEvent():
-            return f"journal_line line={action.line}"
+            return f"{Reply.CLOSE_IDLE_CONNECTIONS} {Field.ENDPOINT}={action.endpoint_id}"
--- /dev/null
+++ b/tests/config/examples.py
@@ -0,0 +1,50 @@
+"""Configurations that the tests read, good and bad, and a short way to read them."""
+
+from __future__ import annotations
+
+import copy
+import json
+import tempfile
+from pathlib import Path
+from typing import Any
+
+from load_balancer.config.file import CONFIG_LIMIT, Config, load_config, read_steps
+from load_balancer.config.steps import run_to_completion
+from tests.sockets import entry
+from tests.test_process import BAD
+
+EXAMPLE = Path(__file__).parent.parent.parent / "deploy" / "example.json"
+VALID = json.loads(EXAMPLE.read_text())
+VALID["known"]["endpoints"] = [entry("h0", "127.0.0.1:1")]
+VALID["peers"] = ["127.0.0.1:2"]
+
+TRUNCATED = EXAMPLE.read_bytes().partition(b'"multiplex"')[0]
+BAD_FILES: list[tuple[bytes, str]] = [
+    (TRUNCATED, f"not JSON: it ends in the middle at byte {len(TRUNCATED)}, in settings.caps"),
+    (b'{"seed": NaN}', "seed: expected a finite number, got NaN"),
+    (b'{"settings": {}, "name": "\xff"}', "name: expected text in Unicode"),
+    (b'{"seed": "\\ud800", "settings": {}}', "in seed; expected an object"),
+    (b"\xff\xfe\x00" * 1000, "not JSON: invalid character at byte 0; expected an object"),
+    (b"[" * 1_000_000, "nested too deep; expected an object"),
+    (b"[" * 5_000 + b"]" * 5_000, "nested too deep; expected an object"),
+    (b"{" * (CONFIG_LIMIT + 1), f"is too large: expected at most {CONFIG_LIMIT} bytes"),
+    *((json.dumps(raw).encode(), named) for raw, named in BAD if raw != ""),
+]
+"""Contents of files that cannot be used, and what the error says of each."""
+
+
+def load(text: str | bytes, previous: Config | None = None) -> Config:
+    """Read a file with this text, beside a configuration in force where one is given."""
+    with tempfile.NamedTemporaryFile() as file:
+        file.write(text if isinstance(text, bytes) else text.encode("utf-8", "surrogatepass"))
+        file.flush()
+        environ = {"ROUTER_CONFIG": file.name}
+        return run_to_completion(read_steps(environ, previous)) if previous else load_config(environ)
+
+
+def with_tenants(count: int) -> dict[str, Any]:
+    """Return the valid file's object with so many tenants."""
+    document: dict[str, Any] = copy.deepcopy(VALID)
+    tenants = [{"name": f"t{index}", "allowancePerS": index} for index in range(count)]
+    document["settings"]["tenants"] = tenants
+    return document
--- /dev/null
+++ b/tests/config/test_file.py
@@ -0,0 +1,159 @@
+"""The configuration file: whatever stands in it, a configuration or one line; what is equal is kept."""
+
+from __future__ import annotations
+
+import copy
+import json
+from collections.abc import Iterator
+from dataclasses import replace
+from pathlib import Path
+from typing import Any
+
+import pytest
+from hypothesis import given
+from hypothesis import settings as examples
+from hypothesis import strategies as st
+
+from load_balancer.config.errors import MAX_MESSAGE_LENGTH
+from load_balancer.config.file import Config, ConfigError, load_config, read_steps
+from load_balancer.config.steps import ITEMS_PER_STEP, run_to_completion
+from tests.config.examples import BAD_FILES, VALID, load, with_tenants
+
+JsonPath = tuple[Any, ...]
+
+
+def paths_within(value: Any, path: JsonPath = ()) -> Iterator[JsonPath]:
+    keys: Any = value if isinstance(value, dict) else range(len(value)) if isinstance(value, list) else ()
+    for key in keys:
+        yield (*path, key)
+        yield from paths_within(value[key], (*path, key))
+
+
+PATHS = list(paths_within(VALID))
+NUMBERS: list[Any] = [0, -1, 7, 0.5, 1e300, 10**400, float("nan"), float("-inf")]
+TEXTS = ["", "odd\n", "\ud800", "9" * 5000 + ":9", "h:" + "9" * 5000, "-1f", "1e5", "99999999999999999999"]
+ODD_VALUES = [None, True, *NUMBERS, *TEXTS, [], {}, [{}], [[]], {"a": 1}]
+
+
+@st.composite
+def mutated_files(draw: st.DrawFn) -> str | bytes:
+    document = copy.deepcopy(VALID)
+    for _ in range(draw(st.integers(0, 3))):
+        *parents, last = draw(st.sampled_from(PATHS))
+        inner = document
+        try:
+            for key in parents:
+                inner = inner[key]
+            match draw(st.sampled_from(["put", "drop", "twice"])):
+                case "drop":
+                    del inner[last]
+                case "twice" if isinstance(inner, list):
+                    inner.append(inner[last])
+                case _:
+                    inner[last] = copy.deepcopy(draw(st.sampled_from(ODD_VALUES)))
+        except (KeyError, IndexError, TypeError):
+            continue  # an earlier change took it away
+    text = json.dumps(document).encode()
+    if draw(st.integers(0, 3)):
+        return text
+    at = draw(st.integers(0, len(text)))
+    return text[:at] + draw(
+        st.sampled_from([b"", b"NaN", b"\xff", b"[" * 5000, b"{}" + text[at:], text[at + 1 :]])
+    )
+
+
+@given(mutated_files())
+@examples(max_examples=400, deadline=None, derandomize=True)
+def test_whatever_stands_in_the_file_is_a_configuration_or_one_line(text: str | bytes) -> None:
+    previous = load(json.dumps(VALID))
+    try:
+        config = load(text)
+    except ConfigError as error:
+        message = str(error)
+        assert message.isprintable()
+        assert len(message) < MAX_MESSAGE_LENGTH + 100
+        with pytest.raises(ConfigError):
+            load(text, previous)
+    else:
+        again = load(text, previous)  # reading beside a configuration gives what reading alone does
+        assert replace(config, known={}) == again
+
+
+@pytest.fixture(scope="module")
+def thousand_tenants() -> Config:
+    return load(json.dumps(with_tenants(1_000)))
+
+
+def with_one_tenant_changed() -> dict[str, Any]:
+    document = with_tenants(1_000)
+    document["settings"]["tenants"][3]["allowancePerS"] = 77
+    return document
+
+
+def test_equal_settings_are_kept_as_the_same_objects(thousand_tenants: Config) -> None:
+    previous = thousand_tenants
+    moved = load(json.dumps(with_tenants(1_000) | {"discovery": "127.0.0.9:1"}), previous)
+    assert moved.settings is previous.settings
+    assert moved.content == previous.content
+    assert moved.names is previous.names
+    assert moved.discovery == ("127.0.0.9", 1)
+
+
+def test_one_changed_tenant_leaves_the_others_the_same_objects(thousand_tenants: Config) -> None:
+    previous = thousand_tenants
+    config = load(json.dumps(with_one_tenant_changed()), previous)
+    assert config.content != previous.content
+    assert config.settings != previous.settings
+    assert config.settings.classes is previous.settings.classes
+    same = [new is old for new, old in zip(config.settings.tenants, previous.settings.tenants, strict=True)]
+    assert same.count(False) == 1
+    assert not same[3]
+    for field in ("classes", "tenants", "zones", "kinds"):
+        assert getattr(config.names, field) is getattr(previous.names, field)
+
+
+def test_tenants_in_another_order_are_the_same_objects(thousand_tenants: Config) -> None:
+    document = with_one_tenant_changed()
+    previous = load(json.dumps(document), thousand_tenants)
+    document["settings"]["tenants"].reverse()
+    config = load(json.dumps(document), previous)
+    assert all(
+        new is old for new, old in zip(config.settings.tenants, previous.settings.tenants[::-1], strict=True)
+    )
+
+
+def test_a_read_lets_others_run_between_few_items(tmp_path: Path) -> None:
+    path = tmp_path / "config.json"
+    path.write_text(json.dumps(with_tenants(10 * ITEMS_PER_STEP)))
+    assert len(list(read_steps({"ROUTER_CONFIG": str(path)}))) > 10
+
+
+def test_a_reload_follows_the_file_where_a_start_follows_the_environment(tmp_path: Path) -> None:
+    path = tmp_path / "config.json"
+    path.write_text(json.dumps(VALID))
+    overrides = {"ROUTER_DISCOVERY": "127.0.0.8:1", "ROUTER_LISTEN": "127.0.0.8:2", "ROUTER_NAME": "n8"}
+    environ = {"ROUTER_CONFIG": str(path), **overrides}
+    first = load_config(environ)
+    again = run_to_completion(read_steps(environ, first))
+    assert (first.discovery, again.discovery) == (("127.0.0.8", 1), ("127.0.0.2", 8500))
+    assert (first.name, first.listen) == (again.name, again.listen) == ("n8", ("127.0.0.8", 2))
+
+
+@pytest.mark.parametrize(("text", "message"), BAD_FILES, ids=range(len(BAD_FILES)))
+def test_each_kind_of_bad_file_is_one_line_that_names_path_and_expectation(
+    text: bytes, message: str, tmp_path: Path
+) -> None:
+    path = tmp_path / "config.json"
+    path.write_bytes(text)
+    with pytest.raises(ConfigError) as error:
+        load_config({"ROUTER_CONFIG": str(path)})
+    assert str(error.value).startswith(f"{path}")
+    assert message in str(error.value)
+
+
+def test_a_file_of_64_mb_is_not_read(tmp_path: Path) -> None:
+    path = tmp_path / "config.json"
+    with path.open("wb") as file:
+        file.truncate(64 * 1024 * 1024)
+    with pytest.raises(ConfigError, match="too large"):
+        next(read_steps({"ROUTER_CONFIG": str(path)}))
--- a/tests/decision_transcripts.py
+++ b/tests/decision_transcripts.py
@@ -20,19 +20,14 @@
 from typing import Any
 
 # Everything that depends on the package's Python names stands from here to the end of Subject.
-from load_balancer.config.reader import run_to_completion
+from load_balancer.config.steps import run_to_completion
 from load_balancer.decisions import balancer, evidence, settings_version
 from load_balancer.decisions.balancer import Balancer
 from load_balancer.decisions.events import EndpointListReceived, SettingsChanged
 from load_balancer.decisions.settings_version import initial_version, next_version
-from load_balancer.simulator.codec import (
-    LIST_KINDS,
-    PARSERS,
-    format_action,
-    parse_server,
-    parse_settings,
-    split_line,
-)
+from load_balancer.simulator.codec import PARSERS, format_action, parse_settings, split_line
+from load_balancer.simulator.codec import parse_endpoint as parse_server
+from load_balancer.simulator.vocabulary import LIST_KINDS
 from tests.transcript_days import DAYS, LOG, MARK, Simulation
 
 DECISION_MODULES = (balancer, evidence, settings_version)
--- /dev/null
+++ b/tests/simulator/test_adapter.py
@@ -0,0 +1,109 @@
+"""The adapter: a scripted exchange, bad lines, instances that stop and start."""
+
+from __future__ import annotations
+
+import subprocess
+import sys
+from pathlib import Path
+
+import pytest
+
+from tests.simulator.script import SETTINGS, START, run
+
+ROOT = Path(__file__).parent.parent.parent
+
+
+@pytest.mark.parametrize(
+    "line",
+    [
+        "incoming requestId=t/a",
+        "incoming requestId=t/a graceUs=soon",
+        "nonsense a=1",
+        "outcome requestId=t/a shot=0 host=11 verdict=999",
+        "registry index=1 how=diff table=9",
+        "registry index=1 how=odd table=0",
+        "reminder",
+        "dropped requestId",
+        "inbox src=1 bytes=*",
+        "pong verdict=200",
+    ],
+)
+def test_a_bad_line_is_named_and_the_rest_goes_on(line: str) -> None:
+    replies, errors = run(
+        *START,
+        "begin_batch simTimeUs=2000",
+        "instance i=gateway_0",
+        line,
+        "incoming requestId=t/good graceUs=300000",
+        "go",
+    )
+    assert "line 11" in errors
+    assert "Traceback" not in errors
+    assert replies.count("next") == 2
+    assert any(reply.startswith("pass_on requestId=t/good") for reply in replies)
+
+
+def test_an_unknown_instance_is_named() -> None:
+    replies, errors = run(
+        "begin_batch simTimeUs=1", "instance i=gateway_8", "incoming requestId=t/a graceUs=9", "go"
+    )
+    assert replies == ["next"]
+    assert "gateway_8" in errors
+
+
+def test_things_finished_already_are_ignored() -> None:
+    replies, errors = run(
+        *START,
+        "begin_batch simTimeUs=2000",
+        "instance i=gateway_0",
+        "outcome requestId=t/old shot=0 host=11 verdict=200 durationUs=5 ended=1",
+        "dropped requestId=t/old",
+        "reminder keyBack=12345",
+        "inbox src=1 bytes=-",
+        "pong host=11 verdict=200 durationUs=3",
+        "go",
+    )
+    assert replies == ["next", "next"]
+    assert errors == ""
+
+
+def test_a_killed_instance_is_forgotten_and_may_start_again() -> None:
+    replies, errors = run(
+        *START,
+        "begin_batch simTimeUs=2000",
+        "instance i=gateway_0",
+        "destroy",
+        f"launch prng=6 bootInfo={SETTINGS}",
+        "registry index=1 how=disk table=0",
+        "incoming requestId=t/new graceUs=300000",
+        "go",
+    )
+    assert errors == ""
+    assert replies[1] == "by i=gateway_0"
+
+
+def test_the_adapter_answers_a_script_the_same_way_twice() -> None:
+    script = [*START]
+    for n in range(40):
+        script += [
+            f"begin_batch simTimeUs={2000 + n * 1000}",
+            "instance i=gateway_0",
+            f"incoming requestId=t/{n} graceUs=300000 priority={n % 3}",
+            "go",
+        ]
+    text = "\n".join(script) + "\n"
+    outputs = [
+        subprocess.run(
+            [sys.executable, "-B", "-m", "load_balancer.simulator"],
+            input=text,
+            capture_output=True,
+            text=True,
+            check=True,
+            cwd=ROOT,
+        )
+        for _ in range(2)
+    ]
+    assert outputs[0].stdout == outputs[1].stdout
+    assert outputs[0].stdout.count("next") == 41
+    assert outputs[0].stdout.count("pass_on") >= 2
+    assert outputs[0].stderr == ""
