--- a/lab/changes.py
+++ b/lab/changes.py
@@ -16,7 +16,7 @@
 from lab import fleet, schedule
 from lab.child import Handler, Hist, Order, obey
 from load_balancer.config.file import read_steps
-from load_balancer.config.reader import Steps, run_to_completion
+from load_balancer.config.steps import Steps, run_to_completion
 from load_balancer.decisions.actions import Send
 from load_balancer.decisions.balancer import Balancer
 from load_balancer.decisions.endpoint import ListKind
@@ -28,8 +28,8 @@
     SettingsChanged,
 )
 from load_balancer.decisions.settings_version import next_version
-from load_balancer.gateway.request_parsing import lookup_steps
 from load_balancer.gateway.discovery import parse_list
+from load_balancer.gateway.request_parsing import lookup_steps
 
 MARK = "the tenants stand here"
 PULSE_S = 0.002  # between two looks at one gateway
--- a/load_balancer/gateway/attempt_sender.py
+++ b/load_balancer/gateway/attempt_sender.py
@@ -10,7 +10,7 @@
 from load_balancer.decisions.events import AttemptEnded, Event, LoadReport, Outcome
 from load_balancer.gateway.clock import Clock
 from load_balancer.gateway.http_message import Response
-from load_balancer.gateway.load_reports import parse_load_report
+from load_balancer.gateway.load_reports import parse_load_report_header
 from load_balancer.gateway.request_ledger import PendingRequest, RequestLedger
 from load_balancer.gateway.upstream_pool import EndpointId, UpstreamPool
 
@@ -96,4 +96,4 @@
     def _load_report(self, response: Response | None) -> LoadReport:
         if response is None or not self.reads_load_reports:
             return ()
-        return parse_load_report(response.header(b"server-load"))
+        return parse_load_report_header(response.header(b"server-load"))
--- a/load_balancer/gateway/client_server.py
+++ b/load_balancer/gateway/client_server.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from load_balancer.config.file import Config
-from load_balancer.config.reader import run_to_completion
+from load_balancer.config.steps import run_to_completion
 from load_balancer.gateway.client_connection import TOO_MANY_CONNECTIONS, ClientConnection
 from load_balancer.gateway.http_message import HttpRequestError
 from load_balancer.gateway.proxy import Proxy
--- a/load_balancer/gateway/health_checks.py
+++ b/load_balancer/gateway/health_checks.py
@@ -8,7 +8,7 @@
 from load_balancer.decisions.settings import LoadReportMode, Settings
 from load_balancer.gateway.clock import Clock
 from load_balancer.gateway.http_message import Response
-from load_balancer.gateway.load_reports import parse_load_report
+from load_balancer.gateway.load_reports import parse_load_report_header
 from load_balancer.gateway.upstream_pool import EndpointId, UpstreamPool
 
 HEALTH_CHECK_TIMEOUT_S = 1.0
@@ -32,7 +32,7 @@
         sent_us = self._clock.now_us()
 
         def ended(outcome: Outcome, response: Response | None) -> None:
-            report = parse_load_report(response.body) if with_report and response is not None else ()
+            report = parse_load_report_header(response.body) if with_report and response is not None else ()
             self._dispatch(HealthCheckEnded(endpoint_id, outcome, self._clock.now_us() - sent_us, report))
 
         path = LOAD_REPORT_PATH if with_report else HEALTH_CHECK_PATH
--- a/load_balancer/gateway/request_parsing.py
+++ b/load_balancer/gateway/request_parsing.py
@@ -7,7 +7,7 @@
 from urllib.parse import parse_qs
 
 from load_balancer.config.file import Config
-from load_balancer.config.reader import STEP, Steps
+from load_balancer.config.steps import ITEMS_PER_STEP, Steps
 from load_balancer.decisions.settings import Idempotency
 from load_balancer.gateway.client_request import ClientRequest
 from load_balancer.gateway.http_message import HOP_BY_HOP_HEADERS, Header, HttpRequestError
@@ -58,7 +58,7 @@
     table: dict[bytes, int] = {}
     for index, name in enumerate(names):
         table[name.encode()] = index
-        if index % STEP == 0:
+        if index % ITEMS_PER_STEP == 0:
             yield
     return table
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -22,8 +22,7 @@
 from load_balancer.config.file import load_config
 from load_balancer.decisions.actions import SendPeerMessage
 from load_balancer.decisions.events import AttemptEnded, PeerMessageReceived
-from load_balancer.gateway import client_server
-from load_balancer.gateway import upstream_pool
+from load_balancer.gateway import client_server, upstream_pool
 from load_balancer.gateway.client_server import ClientServer
 from load_balancer.gateway.discovery import DiscoveredEndpoint
 from load_balancer.simulator.codec import parse_settings
