--- a/lab/changes.py
+++ b/lab/changes.py
@@ -29,7 +29,7 @@
 )
 from load_balancer.decisions.settings_version import next_version
 from load_balancer.gateway.client_server import lookup_steps
-from load_balancer.gateway.discovery import parse_list
+from load_balancer.gateway.discovery_messages import parse_list
 
 MARK = "the tenants stand here"
 PULSE_S = 0.002  # between two looks at one gateway
@@ -188,7 +188,7 @@
     )
     document.write(file)
     config = run_to_completion(read_steps(environ))
-    listed = parse_list(config.known, config.names).event().endpoints
+    listed = parse_list(config.known, config.names).to_balancer_event().endpoints
     config.known.clear()
     gc.collect()
     base = process.memory_info().rss
--- a/lab/hollow.py
+++ b/lab/hollow.py
@@ -33,7 +33,8 @@
 from load_balancer.decisions.balancer import Balancer
 from load_balancer.decisions.endpoint import ListKind
 from load_balancer.decisions.events import AttemptEnded, Event, Outcome, RequestArrived, TimerFired
-from load_balancer.gateway.discovery import DiscoveryClient, WatchEvent
+from load_balancer.gateway.discovery import DiscoveryClient
+from load_balancer.gateway.discovery_messages import WatchEvent
 from load_balancer.gateway.proxy import Clock
 
 PATIENCE_US = 2_000_000
@@ -60,7 +61,7 @@
         self.lists = 0
 
     def on_news(self, news: WatchEvent) -> None:
-        event = news.event()
+        event = news.to_balancer_event()
         began = time.perf_counter_ns()
         self.feed(event)
         done_ns = time.monotonic_ns()
@@ -113,9 +114,9 @@
                 delay_us = action.due_us - self.crowd.clock.now_us()
                 loop.call_later(max(0, delay_us) / 1e6, self.feed, TimerFired(action.token))
             case SubscribeEndpoints():
-                self.discovery.watch(action.active)
+                self.discovery.set_subscribed(action.active)
             case PollEndpoints():
-                self.discovery.fetch()
+                self.discovery.poll()
 
     def ended(self, request: str, attempt: int, outcome: Outcome, latency_us: int) -> None:
         self.attempts[request][attempt] = None
--- a/lab/module.py
+++ b/lab/module.py
@@ -26,7 +26,7 @@
     RequestArrived,
     TimerFired,
 )
-from load_balancer.gateway.discovery import parse_list
+from load_balancer.gateway.discovery_messages import parse_list
 from load_balancer.simulator.codec import parse_settings
 
 START_US = 1_000_000_000
@@ -135,7 +135,7 @@
     text = json.dumps(fleet.settings(routes, tenants))
     raw = {"endpoints": fleet.entries(servers, 3000)}
     names = NameTable((), (), fleet.ZONES, ("m1",))
-    listed = parse_list(raw, names).event().endpoints
+    listed = parse_list(raw, names).to_balancer_event().endpoints
     base = process.memory_info().rss
     began = time.perf_counter()
     settings = parse_settings(text)
--- a/lab/registry.py
+++ b/lab/registry.py
@@ -17,7 +17,7 @@
 
 from lab import fleet
 from lab.child import Handler, Hist, Order, obey
-from load_balancer.gateway.discovery import STATUSES, endpoint_id_of
+from load_balancer.gateway.discovery_messages import STATUSES, endpoint_id_of
 
 PATH = b"/registry/instances"
 LISTENS = {"real": "127.0.0.2", "hollow": "127.0.0.3"}
--- /dev/null
+++ b/load_balancer/gateway/discovery_call.py
@@ -0,0 +1,189 @@
+"""One HTTP call to discovery: a watch, which goes on, or a poll, which reads the complete list once."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from typing import cast
+
+import httptools
+
+from load_balancer.config.file import Address
+from load_balancer.gateway.discovery_messages import JsonStreamSplitter
+from load_balancer.gateway.event_log import log_event
+
+# A machine that is cut off loses the first packet, which the kernel sends again after 1 s.
+CONNECT_TIMEOUT_S = 1.2
+# A watch brings a line every 2 s; without a limit, one whose peer vanished would go unnoticed. Only the end
+# of a head, a message or an empty line and the first byte of a further message restart the time: a peer
+# that sends a byte now and then is as good as silent.
+SILENCE_TIMEOUT_S = 3.0
+MAX_MESSAGE_BYTES = 8 * 1024 * 1024
+
+
+class DiscoveryCall(asyncio.Protocol):
+    """One GET request to discovery; subclasses read the body of its response.
+
+    Args:
+        loop: The loop on which the call runs.
+        address: Where discovery accepts connections.
+        target: Path and query of the request.
+        on_message: Takes the text of one message; returns whether it could be read.
+        on_failure: Called at most once, when the call has ended without having been closed.
+
+    Attributes:
+        is_closed: Whether the call is over; nothing is reported any more.
+    """
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        address: Address,
+        target: str,
+        on_message: Callable[[bytes], bool],
+        on_failure: Callable[[DiscoveryCall], None],
+    ) -> None:
+        self.is_closed = False
+        self._loop = loop
+        self._address = address
+        self._target = target
+        self._on_message = on_message
+        self._on_failure = on_failure
+        self._parser = httptools.HttpResponseParser(self)
+        self._transport: asyncio.Transport | None = None
+        self._silence_timer: asyncio.TimerHandle | None = None
+        self._connect_task = loop.create_task(self._connect())
+
+    def close(self) -> None:
+        """End the call without a report."""
+        self.is_closed = True
+        if self._silence_timer is not None:
+            self._silence_timer.cancel()
+        if self._transport is not None:
+            self._transport.abort()
+
+    async def _connect(self) -> None:
+        try:
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                await self._loop.create_connection(lambda: self, *self._address)
+        except (OSError, TimeoutError, ValueError) as error:  # ValueError: the host is no valid name
+            self._fail(f"no connection: {error}")
+
+    def _fail(self, reason: str) -> None:
+        if self.is_closed:
+            return
+        self.close()
+        log_event("discovery.call_failed", why=reason)
+        self._on_failure(self)
+
+    def _restart_silence_timer(self) -> None:
+        if self._silence_timer is not None:
+            self._silence_timer.cancel()
+        self._silence_timer = self._loop.call_later(SILENCE_TIMEOUT_S, self._fail, "silent for too long")
+
+    # Called by the transport
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Send the request."""
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports are no subclasses
+        if self.is_closed:
+            self._transport.abort()
+            return
+        host, port = self._address
+        self._transport.write(f"GET {self._target} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode())
+        self._restart_silence_timer()
+
+    def data_received(self, data: bytes) -> None:
+        """Parse a piece of the response."""
+        try:
+            self._parser.feed_data(data)
+        except httptools.HttpParserError as error:
+            self._fail(f"malformed answer: {error}")
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Report the call as failed unless it is over."""
+        del exc
+        self._fail("connection lost")
+
+    # Called by the parser
+
+    def on_headers_complete(self) -> None:
+        """Accept a response of status 200 only."""
+        status = self._parser.get_status_code()
+        if status != 200:
+            self._fail(f"answered {status}")
+        elif not self.is_closed:
+            self._restart_silence_timer()
+
+    def on_body(self, body: bytes) -> None:
+        """Read a piece of the response's body."""
+        if not self.is_closed and self._read_body(body) > MAX_MESSAGE_BYTES:
+            self._fail("a list too long")
+
+    def on_message_complete(self) -> None:
+        """Conclude the call at the end of the response's body."""
+        if not self.is_closed:
+            self._conclude()
+
+    # For subclasses
+
+    def _read_body(self, body: bytes) -> int:
+        """Read a piece of the body; returns how many bytes are buffered."""
+        raise NotImplementedError
+
+    def _conclude(self) -> None:
+        """The body has ended."""
+        raise NotImplementedError
+
+
+class WatchCall(DiscoveryCall):
+    """A call whose response brings one message after another; its end is a failure."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        address: Address,
+        target: str,
+        on_message: Callable[[bytes], bool],
+        on_failure: Callable[[DiscoveryCall], None],
+    ) -> None:
+        super().__init__(loop, address, target, on_message, on_failure)
+        self._splitter = JsonStreamSplitter()
+
+    def _read_body(self, body: bytes) -> int:
+        splitter = self._splitter
+        completed_before = splitter.completed
+        begins_message = completed_before > 0 and not splitter.buffered_bytes
+        for message in splitter.feed(body):
+            if not self.is_closed:  # the reading of the one before may have closed the call
+                self._on_message(message)
+        if not self.is_closed and (begins_message or splitter.completed > completed_before):
+            self._restart_silence_timer()
+        return splitter.buffered_bytes
+
+    def _conclude(self) -> None:
+        self._fail("the watch ended")
+
+
+class PollCall(DiscoveryCall):
+    """A call whose response is one message, read when it is complete."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        address: Address,
+        target: str,
+        on_message: Callable[[bytes], bool],
+        on_failure: Callable[[DiscoveryCall], None],
+    ) -> None:
+        super().__init__(loop, address, target, on_message, on_failure)
+        self._body = bytearray()
+
+    def _read_body(self, body: bytes) -> int:
+        self._body += body
+        return len(self._body)
+
+    def _conclude(self) -> None:
+        self.close()
+        if not self._on_message(bytes(self._body)):
+            self._on_failure(self)
--- /dev/null
+++ b/load_balancer/gateway/discovery_messages.py
@@ -0,0 +1,225 @@
+"""Discovery's JSON and its translation into typed watch events; its words are used in this module alone."""
+
+from __future__ import annotations
+
+import hashlib
+import json
+import math
+import re
+from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import Any
+
+from load_balancer.config.file import Address, ConfigError, NameTable, parse_address
+from load_balancer.decisions.endpoint import Endpoint, EndpointStatus, ListKind
+from load_balancer.decisions.events import EndpointListReceived
+from load_balancer.errors import LoadBalancerError
+from load_balancer.gateway.event_log import log_event
+
+LOGGED_ENTRY_CHARACTERS = 200
+STATUSES = {"active": EndpointStatus.READY, "leaving": EndpointStatus.DRAINING, "left": EndpointStatus.GONE}
+JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
+
+
+class DiscoveryFormatError(LoadBalancerError, ValueError):
+    """A message of discovery, or an entry of one, does not have the expected form."""
+
+
+@dataclass(frozen=True, slots=True)
+class DiscoveredEndpoint:
+    """One entry of an endpoint list.
+
+    Attributes:
+        name: The endpoint's name at discovery.
+        endpoint: What the balancer knows of it.
+        address: Where it accepts connections.
+    """
+
+    name: str
+    endpoint: Endpoint
+    address: Address
+
+
+@dataclass(frozen=True, slots=True)
+class WatchEvent:
+    """One message of discovery, or the failure of a call.
+
+    Attributes:
+        kind: Whether `endpoints` is a complete list, a cached one or a change; ERROR for a failed call.
+        endpoints: The entries that could be read.
+        index: Position in discovery's log of changes, from which a later watch continues.
+    """
+
+    kind: ListKind
+    endpoints: tuple[DiscoveredEndpoint, ...] = ()
+    index: int = 0
+
+    def to_balancer_event(self) -> EndpointListReceived:
+        """Return the event by which the balancer learns of this list."""
+        return EndpointListReceived(self.kind, tuple(entry.endpoint for entry in self.endpoints))
+
+
+def endpoint_id_of(name: str) -> int:
+    """Return a 64-bit number for a name, the same at every gateway and after every restart."""
+    return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest())
+
+
+def parse_entry(raw: Any, names: NameTable) -> DiscoveredEndpoint:
+    """Read one entry of a list.
+
+    Args:
+        raw: The entry as decoded from JSON.
+        names: The names of zones and endpoint kinds that the settings declare; undeclared ones are ignored.
+
+    Raises:
+        DiscoveryFormatError: If a field is missing, unknown or out of range.
+    """
+    try:
+        return _parse_fields(raw, names)
+    except KeyError as error:
+        raise DiscoveryFormatError(f"field or value {error} is missing or unknown") from None
+    except (AttributeError, TypeError, ValueError, OverflowError, ConfigError) as error:
+        raise DiscoveryFormatError(str(error)) from None
+
+
+def _parse_fields(raw: Any, names: NameTable) -> DiscoveredEndpoint:
+    weight = float(raw.get("weight", 1.0))
+    started_ms = int(raw.get("since_ms", 0))
+    if not 0.0 < weight < math.inf or started_ms < 0:
+        raise DiscoveryFormatError("weight or since_ms is out of range")
+    name = raw["name"]
+    if not isinstance(name, str) or not name:
+        raise DiscoveryFormatError("name is not a text")
+    endpoint = Endpoint(
+        id=endpoint_id_of(name),
+        status=STATUSES[raw["status"]],
+        weight=weight,
+        zone=names.zones.index(raw["zone"]) if names.zones else 0,
+        group=int(raw.get("group", 0)),
+        kind=names.kinds.index(raw["type"]) if names.kinds else 0,
+        started_us=started_ms * 1000,
+    )
+    return DiscoveredEndpoint(name, endpoint, parse_address(raw["address"]))
+
+
+def parse_list(
+    raw: Any,
+    names: NameTable,
+    complete_kind: ListKind = ListKind.COMPLETE,
+    cached: Mapping[str, DiscoveredEndpoint] | None = None,
+) -> WatchEvent:
+    """Read one message of discovery.
+
+    An entry that cannot be read is logged and skipped; in a complete list an endpoint of that name stays as
+    it is cached.
+
+    Args:
+        raw: The message as decoded from JSON.
+        names: The names that the settings declare.
+        complete_kind: The kind of a list that is complete, as opposed to a change.
+        cached: The endpoints known so far, by name.
+
+    Raises:
+        DiscoveryFormatError: If the message is not a list, or is a complete list that would remove every
+            cached endpoint.
+    """
+    if not isinstance(raw, dict) or not isinstance(raw.get("endpoints"), list):
+        raise DiscoveryFormatError("a list without endpoints")
+    cached = cached or {}
+    is_complete = bool(raw.get("snapshot", True))
+    fallback = cached if is_complete else {}
+    parsed = [_parse_or_keep(item, names, fallback) for item in raw["endpoints"]]
+    endpoints = tuple(entry for entry in parsed if entry is not None)
+    if is_complete and cached and not endpoints:
+        raise DiscoveryFormatError("a complete list without an endpoint")
+    return WatchEvent(complete_kind if is_complete else ListKind.DELTA, endpoints, _parse_index(raw))
+
+
+def _parse_or_keep(
+    item: Any, names: NameTable, fallback: Mapping[str, DiscoveredEndpoint]
+) -> DiscoveredEndpoint | None:
+    """Read an entry; where that fails, return the fallback of the same name if there is one."""
+    try:
+        return parse_entry(item, names)
+    except DiscoveryFormatError as error:
+        log_event("discovery.entry_skipped", error=error, entry=f"{item!r:.{LOGGED_ENTRY_CHARACTERS}}")
+    name = item.get("name") if isinstance(item, dict) else None
+    return fallback.get(name) if isinstance(name, str) else None
+
+
+def _parse_index(raw: dict[str, Any]) -> int:
+    index = raw.get("index", 0)
+    return index if isinstance(index, int) else 0
+
+
+def decode_list(data: bytes, names: NameTable, cached: Mapping[str, DiscoveredEndpoint]) -> WatchEvent:
+    """Read one message of discovery from its JSON text; arguments and errors as of `parse_list`."""
+    try:
+        raw = json.loads(data)
+    except ValueError as error:
+        raise DiscoveryFormatError(str(error)) from None
+    return parse_list(raw, names, cached=cached)
+
+
+class JsonStreamSplitter:
+    """Splits a stream into its JSON objects, each on one line or indented over several.
+
+    Attributes:
+        completed: How many objects, malformed lines and empty lines have ended so far.
+    """
+
+    def __init__(self) -> None:
+        self.completed = 0
+        self._partial_line: list[bytes] = []
+        self._partial_line_bytes = 0
+        self._message_lines: list[bytes] = []
+        self._message_bytes = 0
+        self._depth = 0  # of unclosed braces and brackets
+
+    @property
+    def buffered_bytes(self) -> int:
+        """The size of what has not ended yet, without its newlines."""
+        return self._partial_line_bytes + self._message_bytes
+
+    def feed(self, data: bytes) -> list[bytes]:
+        """Return the objects that end in this piece; the pieces of a line are joined once, when it ends."""
+        *lines, rest = data.split(b"\n")
+        if lines:
+            lines[0] = b"".join((*self._partial_line, lines[0]))
+            self._partial_line, self._partial_line_bytes = [], 0
+        if rest:
+            self._partial_line.append(rest)
+            self._partial_line_bytes += len(rest)
+        return [message for line in lines for message in self._add_line(line)]
+
+    def _add_line(self, line: bytes) -> list[bytes]:
+        """Return the objects that end with this line, and malformed text that ends before it."""
+        depth = _unclosed(line)
+        is_empty = not line.strip()
+        # Neither a complete list on a line of its own nor an empty line occurs within another object.
+        is_list = depth == 0 and line.startswith(b"{") and b'"endpoints"' in line
+        if self._message_lines and (is_list or is_empty):
+            return [self._take_message(), *self._add_line(line)]
+        if is_empty:
+            self.completed += 1
+            return []
+        self._message_lines.append(line)
+        self._message_bytes += len(line)
+        self._depth += depth
+        if self._depth > 0:
+            return []
+        self.completed += 1
+        return [self._take_message()]
+
+    def _take_message(self) -> bytes:
+        message = b"\n".join(self._message_lines)
+        self._message_lines, self._message_bytes, self._depth = [], 0, 0
+        return message
+
+
+def _unclosed(line: bytes) -> int:
+    """Return how many more braces and brackets a line opens than it closes, outside of its strings."""
+    outside = JSON_STRING.sub(b"", line)
+    opened = outside.count(b"{") + outside.count(b"[")
+    closed = outside.count(b"}") + outside.count(b"]")
+    return opened - closed
--- a/load_balancer/gateway/proxy.py
+++ b/load_balancer/gateway/proxy.py
@@ -43,7 +43,8 @@
 )
 from load_balancer.decisions.settings import LoadReportMode
 from load_balancer.decisions.settings_version import SettingsVersion
-from load_balancer.gateway.discovery import DiscoveryClient, WatchEvent
+from load_balancer.gateway.discovery import DiscoveryClient
+from load_balancer.gateway.discovery_messages import WatchEvent
 from load_balancer.gateway.event_log import log_event
 from load_balancer.gateway.upstream_pool import Response, UpstreamAttempt, UpstreamPool
 from load_balancer.simulator.codec import parse_load
@@ -232,9 +233,9 @@
                 if exchange is not None:
                     exchange.give_up(Outcome.CANCELLED)
             case SubscribeEndpoints():
-                self.discovery.watch(action.active)
+                self.discovery.set_subscribed(action.active)
             case PollEndpoints():
-                self.discovery.fetch()
+                self.discovery.poll()
             case StartHealthCheck():
                 self.probe(action.endpoint_id)
             case CloseIdleConnections():
@@ -425,10 +426,10 @@
 
     def on_news(self, news: WatchEvent) -> None:
         if news.kind in (ListKind.COMPLETE, ListKind.CACHED):
-            self.upstream.drain_others(entry.server.id for entry in news.entries)
-        for entry in news.entries:
-            self.upstream.list_host(entry.server.id, entry.address, entry.server.status)
-        self.feed(news.event())
+            self.upstream.drain_others(entry.endpoint.id for entry in news.endpoints)
+        for entry in news.endpoints:
+            self.upstream.list_host(entry.endpoint.id, entry.address, entry.endpoint.status)
+        self.feed(news.to_balancer_event())
 
     def tell_peers(self, action: SendPeerMessage) -> None:
         to = (
--- a/load_balancer/gateway/reload.py
+++ b/load_balancer/gateway/reload.py
@@ -97,7 +97,7 @@
             log_event("config.taken_over", generation=generation.number, content=config.content[:12])
         self.config = config
         self.proxy.config = config
-        self.proxy.discovery.move(config.discovery)
+        self.proxy.discovery.change_address(config.discovery)
 
 
 def trim_heap() -> None:
--- a/tests/test_logs.py
+++ b/tests/gateway/test_event_log.py
@@ -25,9 +25,9 @@
     page,
 )
 from tests.sockets import ask, configuration, gateway, run, settings
-from tests.test_process import start
+from tests.gateway.test_process import start
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 
 def test_the_page_lists_the_events_of_the_code() -> None:
--- a/tests/test_process.py
+++ b/tests/gateway/test_process.py
@@ -25,7 +25,7 @@
 from load_balancer.gateway import client_server as downstream
 from load_balancer.gateway import upstream_pool as upstream
 from load_balancer.gateway.client_server import ClientServer
-from load_balancer.gateway.discovery import DiscoveredEndpoint
+from load_balancer.gateway.discovery_messages import DiscoveredEndpoint
 from load_balancer.simulator.codec import parse_settings
 from tests.sockets import (
     PATIENCE_S,
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -23,7 +23,7 @@
 from load_balancer.config.file import CONFIG_LIMIT, Config, ConfigError, load_config, read_steps
 from load_balancer.config.reader import LINE_LIMIT, STEP, run_to_completion
 from tests.sockets import entry
-from tests.test_process import BAD
+from tests.gateway.test_process import BAD
 
 EXAMPLE = Path(__file__).parent.parent / "deploy" / "example.json"
 VALID = json.loads(EXAMPLE.read_text())
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -24,7 +24,7 @@
 from load_balancer.gateway import client_server as downstream
 from load_balancer.gateway import upstream_pool as upstream
 from load_balancer.gateway.client_server import BODY_LIMIT
-from load_balancer.gateway.discovery import endpoint_id_of
+from load_balancer.gateway.discovery_messages import endpoint_id_of
 from load_balancer.gateway.proxy import LAST_RESORT_US, Request
 from load_balancer.gateway.upstream_pool import Response, UpstreamConnection
 from tests.sockets import (
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -20,7 +20,7 @@
 )
 from load_balancer.gateway import client_server as downstream
 from load_balancer.gateway.client_server import BODY_LIMIT, HEAD_LIMIT
-from load_balancer.gateway.discovery import endpoint_id_of
+from load_balancer.gateway.discovery_messages import endpoint_id_of
 from tests.sockets import PATIENCE_S, ask, chunk, entry, gateway, hold_connects, news, run, settings, until
 
 
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -9,7 +9,9 @@
 import pytest
 
 from load_balancer.config.file import parse_config
-from load_balancer.gateway.discovery import QUEUED_S, TOLD_S, Call, WatchEvent
+from load_balancer.gateway.discovery import CHANGE_DEADLINE_S, QUEUED_CALL_S
+from load_balancer.gateway.discovery_call import DiscoveryCall
+from load_balancer.gateway.discovery_messages import WatchEvent
 from load_balancer.gateway.proxy import Proxy
 from tests.sockets import chunk, configuration, entry, news, settings
 
@@ -51,7 +53,7 @@
             raise ConnectionRefusedError
         if early and self.before == "swallows":
             await self.create_future()
-        call: Call = protocol()
+        call: DiscoveryCall = protocol()
         call.connection_made(Silent())
         if early and self.before == "opens":
             call.data_received(OLD)
@@ -68,7 +70,8 @@
         self.call_later(late_s, call.data_received, answer)
 
     def note(self, told: WatchEvent) -> None:
-        if any(entry.server.status.value == "draining" for entry in told.entries) and not self.told.done():
+        statuses = [entry.endpoint.status.value for entry in told.endpoints]
+        if "draining" in statuses and not self.told.done():
             self.told.set_result(self.time())
 
 
@@ -92,7 +95,7 @@
             loop.note(told)
             proxy.on_news(told)
 
-        proxy.discovery.news = heard
+        proxy.discovery.on_watch_event = heard
         proxy.discovery.start(proxy.config.known)
         return loop.run_until_complete(loop.told) - reach_s
     finally:
@@ -102,7 +105,7 @@
         loop.close()
 
 
-PROMPT, QUEUED, TURNED_AWAY = (PROMPT_S, CHANGED), (QUEUED_S, CHANGED), (QUEUED_S, REFUSED)
+PROMPT, QUEUED, TURNED_AWAY = (PROMPT_S, CHANGED), (QUEUED_CALL_S, CHANGED), (QUEUED_CALL_S, REFUSED)
 STATES: dict[str, tuple[str, Answers]] = {
     "it was down, and has too many callers": ("refuses", [TURNED_AWAY, QUEUED]),
     "it was cut off, and has too many callers": ("swallows", [TURNED_AWAY, PROMPT]),
@@ -124,16 +127,16 @@
         for tenth in range(20, 160)
         for seed in range(3)
     )
-    assert worst_s <= TOLD_S
+    assert worst_s <= CHANGE_DEADLINE_S
 
 
 @pytest.mark.parametrize("must_ask_s", [1, 10, 60, 600])
 def test_the_first_call_may_queue_twice_whatever_the_time_for_asking(must_ask_s: int) -> None:
     """It fell anywhere within a tenth of that time: with 600 s, a minute after the start."""
     late = [
-        told_after(0.0, "", [TURNED_AWAY, QUEUED], seed, must_ask_s * 1_000_000) - 2 * QUEUED_S
+        told_after(0.0, "", [TURNED_AWAY, QUEUED], seed, must_ask_s * 1_000_000) - 2 * QUEUED_CALL_S
         for seed in range(40)
     ]
-    assert max(late) <= TOLD_S - 2 * QUEUED_S
+    assert max(late) <= CHANGE_DEADLINE_S - 2 * QUEUED_CALL_S
     assert max(late) - min(late) > 0.8 * min(1.0, 0.1 * must_ask_s)  # they ask at random all the same
     assert min(late) >= 0 and len({round(late_s, 6) for late_s in late}) == 40
