--- /dev/null
+++ b/load_balancer/gateway/repeat_counter.py
@@ -0,0 +1,142 @@
+"""Counting of repeated log events: one line a second for each event that goes on."""
+
+from __future__ import annotations
+
+import asyncio
+from collections import Counter
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from functools import partial
+
+from load_balancer.gateway.log_events import EVENTS, MAX_COUNTED_KEYS, RegisteredEvent
+
+WINDOW_S = 1.0
+
+Fields = dict[str, object]
+EventWriter = Callable[[RegisteredEvent, Fields], None]
+EventKey = tuple[object, ...]
+
+
+@dataclass(slots=True)
+class Window:
+    """The second after an event was written, in which its repeats are counted.
+
+    Attributes:
+        event: The event.
+        ends_at: Loop time at which the window ends, in seconds.
+        repeated: How often the event has been repeated.
+        last_fields: The fields of the last repeat.
+    """
+
+    event: RegisteredEvent
+    ends_at: float
+    repeated: int = 0
+    last_fields: Fields = field(default_factory=dict)
+
+
+class RepeatCounter:
+    """Writes an event at once, and its repeats within a second as one at the second's end, with their count.
+
+    While repeats go on, that is one line a second. A timer runs only while something may have to be written;
+    where no loop runs, every event is written at once.
+
+    Args:
+        write: Writes one event with its fields.
+        get_loop: Returns the running loop; raises RuntimeError if there is none.
+
+    Attributes:
+        get_loop: The argument of that name.
+        windows: The open windows, in the order in which they end.
+    """
+
+    def __init__(self, write: EventWriter, get_loop: Callable[[], asyncio.AbstractEventLoop]) -> None:
+        self.windows: dict[EventKey, Window] = {}
+        self._write = write
+        self.get_loop = get_loop
+        self._loop: asyncio.AbstractEventLoop | None = None
+        self._timer: asyncio.TimerHandle | None = None
+        self._overflow: Counter[str] = Counter()  # by event's name, beyond MAX_COUNTED_KEYS windows
+        self._overflow_ends_at = 0.0
+
+    def add(self, event: RegisteredEvent, fields: Fields) -> None:
+        """Write an event or count it."""
+        try:
+            loop = self.get_loop()
+        except RuntimeError:
+            self._write(event, fields)
+            return
+        if loop is not self._loop:  # the other loop's timers may never come
+            self.flush()
+            self._loop = loop
+        now = loop.time()
+        key = (event.name, *map(fields.get, event.key))
+        window = self.windows.get(key)
+        if window is not None and now >= window.ends_at:  # its timer is late
+            self._close_window(key, window, now)
+            window = self.windows.get(key)
+        if window is not None:
+            _count_repeat(window, fields)
+        elif len(self.windows) < MAX_COUNTED_KEYS:
+            self.windows[key] = Window(event, now + WINDOW_S)
+            self._write(event, fields)
+        else:
+            self._count_overflow(event, now)
+        if self._timer is None:
+            self._start_timer(loop, now)
+
+    def flush(self) -> None:
+        """Write what has been counted, as at the process's end."""
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+        windows, self.windows = self.windows, {}
+        for window in windows.values():
+            self._write_repeats(window)
+        self._write_overflow()
+
+    def _count_overflow(self, event: RegisteredEvent, now: float) -> None:
+        if not self._overflow:
+            self._overflow_ends_at = now + WINDOW_S
+        self._overflow[event.name] += 1
+
+    def _start_timer(self, loop: asyncio.AbstractEventLoop, now: float) -> None:
+        ends = [window.ends_at for window in self.windows.values()][:1]
+        if self._overflow:
+            ends.append(self._overflow_ends_at)
+        if ends:
+            self._timer = loop.call_later(max(0.0, min(ends) - now), partial(self._on_timer, loop))
+
+    def _on_timer(self, loop: asyncio.AbstractEventLoop) -> None:
+        self._timer = None
+        now = loop.time()
+        for key, window in list(self.windows.items()):
+            if now < window.ends_at:
+                break
+            self._close_window(key, window, now)
+        if now >= self._overflow_ends_at:
+            self._write_overflow()
+        self._start_timer(loop, now)
+
+    def _close_window(self, key: EventKey, window: Window, now: float) -> None:
+        """Write the window's repeats; a window that had some is followed by another."""
+        del self.windows[key]
+        if window.repeated:
+            self._write_repeats(window)
+            self.windows[key] = Window(window.event, now + WINDOW_S)
+
+    def _write_repeats(self, window: Window) -> None:
+        if window.repeated:
+            self._write(window.event, window.last_fields | {"repeated": window.repeated})
+
+    def _write_overflow(self) -> None:
+        if not self._overflow:
+            return
+        counts = " ".join(f"{name}:{count}" for name, count in sorted(self._overflow.items()))
+        self._write(EVENTS["log.others"], {"repeated": self._overflow.total(), "events": counts})
+        self._overflow.clear()
+
+
+def _count_repeat(window: Window, fields: Fields) -> None:
+    window.repeated += 1
+    fields.pop("exc_info", None)  # it holds the frames, and the traceback has been written once
+    window.last_fields = fields
--- a/tests/gateway/test_event_log.py
+++ b/tests/gateway/test_event_log.py
@@ -12,33 +12,32 @@
 
 from load_balancer.decisions.actions import Action, LogEvent, Send
 from load_balancer.decisions.events import Event, RequestArrived
-from load_balancer.gateway import event_log as logs
-from load_balancer.gateway.event_log import (
+from load_balancer.gateway import event_log
+from load_balancer.gateway.event_log import make_formatter
+from load_balancer.gateway.log_events import (
+    COMMON_FIELDS,
     EVENTS,
-    EVERYWHERE,
     FIELDS,
-    MOST_KEYS,
-    Fields,
-    Registered,
-    Repeats,
-    formatter,
-    page,
+    MAX_COUNTED_KEYS,
+    RegisteredEvent,
 )
-from tests.sockets import ask, configuration, gateway, run, settings
+from load_balancer.gateway.log_events_page import render_page
+from load_balancer.gateway.repeat_counter import Fields, RepeatCounter
 from tests.gateway.test_process import start
+from tests.sockets import ask, configuration, gateway, run, settings
 
 ROOT = Path(__file__).parents[2]
 
 
 def test_the_page_lists_the_events_of_the_code() -> None:
     """`python -m load_balancer.gateway.event_log > docs/events.md` mends it."""
-    assert (ROOT / "docs" / "events.md").read_text() == page()
-    assert FIELDS.keys() == {name for event in EVENTS.values() for name in event.fields} | set(EVERYWHERE)
+    assert (ROOT / "docs" / "events.md").read_text() == render_page()
+    assert FIELDS.keys() == {name for event in EVENTS.values() for name in event.fields} | set(COMMON_FIELDS)
     assert all(set(event.key) <= set(event.fields) for event in EVENTS.values())
 
 
 def test_every_call_tells_of_a_registered_event_with_its_fields() -> None:
-    told = {"log.others"}  # by logs.py
+    told = {"log.others"}  # by repeat_counter.py
     for path in sorted((ROOT / "load_balancer").rglob("*.py")):
         for node in (node for node in ast.walk(ast.parse(path.read_text())) if isinstance(node, ast.Call)):
             called, where = ast.unparse(node.func), f"{path.name}:{node.lineno}"
@@ -54,7 +53,7 @@
             assert isinstance(name, ast.Constant), where
             event = EVENTS[name.value]
             assert fields - {None, "level"} <= set(event.fields), where
-            assert None in fields or event.named <= fields, where
+            assert None in fields or event.sentence_fields <= fields, where
             told.add(event.name)
     assert told == EVENTS.keys()
 
@@ -66,9 +65,9 @@
 
     def __init__(self) -> None:
         self.told: list[tuple[float, str, Fields]] = []
-        self.counted = Repeats(self.tell, lambda: self)  # type: ignore[arg-type, return-value]
+        self.counted = RepeatCounter(self.tell, lambda: self)  # type: ignore[arg-type, return-value]
 
-    def tell(self, event: Registered, fields: Fields) -> None:
+    def tell(self, event: RegisteredEvent, fields: Fields) -> None:
         self.told.append((self.now, event.name, fields))
 
     def time(self) -> float:
@@ -103,7 +102,8 @@
         (1.49, "request.failed", {"error": "b"}),
         (2.0, "request.failed", {"error": "a", "request": "149", "repeated": 50}),
     ]
-    assert loop.call is None and not counted.windows  # nothing ticks where nothing waits
+    assert loop.call is None
+    assert not counted.windows
     counted.add(event, {"error": "a"})
     assert told[-1] == (9.0, "request.failed", {"error": "a"})
 
@@ -111,15 +111,15 @@
 @pytest.mark.parametrize("end", ["timer", "flush", "another loop", "late timer"])
 def test_every_event_is_told_or_counted(end: str) -> None:
     """Beyond the keys that are kept, by event alone; what is held does not grow with what comes."""
-    loop, event, came = Loop(), EVENTS["library.said"], 30 * MOST_KEYS
+    loop, event, came = Loop(), EVENTS["library.said"], 30 * MAX_COUNTED_KEYS
     counted, told = loop.counted, loop.told
     for n in range(came):
         counted.add(event, {"line": str(n // 3), "logger": "x"})
-    assert len(told) == len(counted.windows) == MOST_KEYS
+    assert len(told) == len(counted.windows) == MAX_COUNTED_KEYS
     if end == "flush":
         counted.flush()
     elif end == "another loop":
-        counted.running = Loop  # type: ignore[assignment]
+        counted.get_loop = Loop  # type: ignore[assignment]
     else:
         loop.now = 1.0 if end == "timer" else 1.5
     if end in ("another loop", "late timer"):
@@ -136,21 +136,21 @@
 @pytest.mark.parametrize("form", ["text", "json"])
 def test_the_forms(form: str, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch) -> None:
     async def say() -> None:
-        logs.log_event("breaker.changed", server=5, klass="buy card", state="open", cooldown_s=2.0)
-        logs.log_event("config.refused", error=ValueError("no name"))
+        event_log.log_event("breaker.changed", server=5, klass="buy card", state="open", cooldown_s=2.0)
+        event_log.log_event("config.refused", error=ValueError("no name"))
         record = {"name": "asyncio", "levelno": logging.ERROR, "msg": "two\nlines %s", "args": ("more",)}
-        logs.Library().handle(logging.makeLogRecord(record))
+        event_log.LibraryHandler().handle(logging.makeLogRecord(record))
         for _ in range(2):
             try:
                 raise RuntimeError("a fault")
             except RuntimeError as error:
-                logs.log_event("request.failed", error=error, request="7")
+                event_log.log_event("request.failed", error=error, request="7")
 
-    logs.flush()
+    event_log.flush()
     caplog.set_level(logging.INFO)
-    monkeypatch.setattr(caplog.handler, "formatter", formatter({"ROUTER_LOG": form}))
+    monkeypatch.setattr(caplog.handler, "formatter", make_formatter({"ROUTER_LOG": form}))
     run(say())
-    logs.flush()
+    event_log.flush()
     fault = r"""ERROR failed on a request error="?RuntimeError\('a fault'\)"? request=7"""
     expected = rf"""@INFO server 5: breaker open cooldown_s=2.0 class="buy card"
 load_balancer: no name
@@ -217,7 +217,8 @@
             about["address"] = it.host.address
             assert breaker == about | {"event": "breaker.changed", "state": "open"}
             assert failed.items() >= (about | {"event": "action.failed", "request": "1"}).items()
-            assert unsaid == {"event": "balancer.unsaid", "unsaid": 3} and not it.proxy.balancer.unsaid
+            assert unsaid == {"event": "balancer.unsaid", "unsaid": 3}
+            assert not it.proxy.balancer.unsaid
 
     caplog.set_level(logging.INFO)
     run(test())
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -102,9 +102,11 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(raw) if raw != "" else "{")
     done = start(path)
-    assert done.returncode != 0 and not done.stdout
+    assert done.returncode != 0
+    assert not done.stdout
     (line,) = done.stderr.splitlines()
-    assert line.startswith("load_balancer: ") and named in line
+    assert line.startswith("load_balancer: ")
+    assert named in line
 
 
 def test_a_large_configuration_is_held_once_while_it_is_read(tmp_path: Path) -> None:
@@ -118,14 +120,14 @@
     most = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
     assert most < 1.7 * path.stat().st_size
-    assert (
-        config.settings == parse_settings(json.dumps(raw["settings"])) and len(config.names.tenants) == 1_000
-    )
+    assert config.settings == parse_settings(json.dumps(raw["settings"]))
+    assert len(config.names.tenants) == 1_000
 
 
 def test_a_missing_configuration_is_one_line_and_a_failure(tmp_path: Path) -> None:
     for done in (start(""), start(tmp_path / "none.json")):
-        assert done.returncode != 0 and len(done.stderr.splitlines()) == 1
+        assert done.returncode != 0
+        assert len(done.stderr.splitlines()) == 1
 
 
 def test_no_collection_looks_at_what_was_known_at_the_start(
@@ -160,7 +162,8 @@
         path = tmp_path / "config.json"
         path.write_text(json.dumps(configuration({}, "127.0.0.1:1")))
         done = start(path, ROUTER_LISTEN=f"127.0.0.1:{taken.getsockname()[1]}")
-    assert done.returncode == 1 and "cannot start" in done.stderr.splitlines()[-1]
+    assert done.returncode == 1
+    assert "cannot start" in done.stderr.splitlines()[-1]
 
 
 @asynccontextmanager
@@ -209,7 +212,8 @@
             assert await idle.closed()  # and so the signal has been heeded
             taken.answer()
             status, head, _ = await held.answer()
-            assert status == 200 and head["connection"] == "close"
+            assert status == 200
+            assert head["connection"] == "close"
             assert await held.closed()
             assert await child.wait() == 0
 
@@ -289,7 +293,8 @@
             child.send_signal(signal.SIGHUP)
             taken.answer()
             status, head, _ = await held.answer()
-            assert status == 200 and head["connection"] == "close"
+            assert status == 200
+            assert head["connection"] == "close"
             assert await held.closed()
             held.writer.close()
             assert await child.wait() == 0
@@ -306,7 +311,8 @@
             await host.taken.get()
             child.send_signal(signal.SIGTERM)
             status, head, _ = await hung.answer()
-            assert status == 502 and head["connection"] == "close"
+            assert status == 502
+            assert head["connection"] == "close"
             assert await hung.closed()
             hung.writer.close()
             assert await child.wait() == 0
@@ -335,7 +341,8 @@
             taken.answer()
             for client in (late, idle):
                 status, head, _ = await client.answer()
-                assert status == 200 and head["connection"] == "close"
+                assert status == 200
+                assert head["connection"] == "close"
                 assert await client.closed()
                 if client is late:
                     idle.send(ask()[20:])
@@ -365,7 +372,8 @@
             client = Client(*await asyncio.open_connection(sock=queued))
             (await it.host.taken.get()).answer()
             status, head, _ = await client.answer()
-            assert status == 200 and head["connection"] == "close"
+            assert status == 200
+            assert head["connection"] == "close"
             assert await client.closed()
             client.writer.close()
             await end
@@ -384,7 +392,8 @@
             assert (await client.answer())[0] == 200
             (await it.host.taken.get()).answer()
             status, head, _ = await client.answer()
-            assert status == 200 and head["connection"] == "close"
+            assert status == 200
+            assert head["connection"] == "close"
             assert await client.closed()
 
     run(test())
--- a/tests/gateway/test_reload.py
+++ b/tests/gateway/test_reload.py
@@ -117,7 +117,8 @@
         async with reloaded(tmp_path) as it:
             before = it.gateway.downstream.lookup
             await it.take_over()
-            assert it.number == 1 and it.gateway.downstream.lookup is before
+            assert it.number == 1
+            assert it.gateway.downstream.lookup is before
             (one,) = said(caplog)
             assert (one["event"], one["generation"]) == ("config.same", 1)
 
@@ -164,9 +165,11 @@
             await it.over()
             assert it.number == 1
             (one,) = said(caplog)
-            assert one["event"] == "config.kept" and one["generation"] == 1
+            assert one["event"] == "config.kept"
+            assert one["generation"] == 1
             error = str(one["error"])
-            assert named in error and len(error.splitlines()) == 1
+            assert named in error
+            assert len(error.splitlines()) == 1
             await it.gateway.served(await it.gateway.client(), ask(Tenant="umbrella"))
 
     caplog.set_level(logging.INFO)
@@ -260,7 +263,8 @@
                 it.reloader.tell()
             free.set()
             await it.over()
-            assert len(began) == 2 and it.number == 3
+            assert len(began) == 2
+            assert it.number == 3
             assert list(it.gateway.downstream.lookup.classes) == [b"look", b"third"]
 
     run(test())
@@ -283,7 +287,8 @@
                 it.reloader.close()
             free.set()
             await it.over()
-            assert gc.isenabled() and it.number == (2 if end == "taken over" else 1)
+            assert gc.isenabled()
+            assert it.number == (2 if end == "taken over" else 1)
 
     run(test())
 
@@ -353,9 +358,11 @@
                 for klass, tenant in ((f"k{turn}", f"t{turn}"), ("look", "acme")):
                     await it.gateway.served(client, ask(klass, "GET", Tenant=tenant))
             balancer = it.gateway.proxy.balancer
-            assert it.number == 61 and len(balancer.classes) == 2 == len(balancer.classes.by_number)
+            assert it.number == 61
+            assert len(balancer.classes) == 2 == len(balancer.classes.by_number)
             assert balancer.demand.asked.keys() <= balancer.classes.by_number.keys()
-            assert not it.gateway.proxy.requests and not balancer.requests
+            assert not it.gateway.proxy.requests
+            assert not balancer.requests
             assert balancer.classes[1].answers == 60
 
     run(test())
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -139,4 +139,5 @@
     ]
     assert max(late) <= CHANGE_DEADLINE_S - 2 * QUEUED_CALL_S
     assert max(late) - min(late) > 0.8 * min(1.0, 0.1 * must_ask_s)  # they ask at random all the same
-    assert min(late) >= 0 and len({round(late_s, 6) for late_s in late}) == 40
+    assert min(late) >= 0
+    assert len({round(late_s, 6) for late_s in late}) == 40
