--- a/load_balancer/__main__.py
+++ b/load_balancer/__main__.py
@@ -32,7 +32,7 @@
     gc.freeze()  # the hosts known stay as long as the process: no collection need look at thousands of them
     trim_heap()
     await downstream.start()
-    log_event("gateway.listens", name=config.name, listen=f"{config.listen[0]}:{config.listen[1]}")
+    log_event("gateway.listening", name=config.name, listen=f"{config.listen[0]}:{config.listen[1]}")
     await told.wait()
     await downstream.drain()
     loop.remove_signal_handler(signal.SIGHUP)
@@ -51,7 +51,7 @@
     try:
         config = load_config(os.environ)
     except ConfigError as error:
-        log_event("config.refused", error=error)
+        log_event("config.invalid", error=error)
         return 2
     gc.freeze()  # what the imports made is never garbage
     try:
--- a/load_balancer/decisions/balancer.py
+++ b/load_balancer/decisions/balancer.py
@@ -307,10 +307,10 @@
 
     def on_request(self, event: RequestArrived) -> None:
         if event.request_id in self.requests:
-            self.log("request.repeated_id", request=event.request_id)
+            self.log("request.duplicate_id", request_id=event.request_id)
             return
         if not 0 <= event.request_class < len(self.classes):
-            self.log("request.unknown_class", request=event.request_id)
+            self.log("request.unknown_class", request_id=event.request_id)
             self.actions.append(Fail(event.request_id))
             return
         request = self.admit(event)
@@ -872,10 +872,12 @@
                 common = 1.0  # only a ring without a good answer convicts
             changed = breaker.record(self.now_us, failed, trial_of, common)
             if changed is not None:
-                kind = {"klass": request.klass.number, "tenant": request.kind % KINDS} if place else {}
+                kind = (
+                    {"request_class": request.klass.number, "tenant": request.kind % KINDS} if place else {}
+                )
                 span = {"cooldown_s": breaker.cooldown_us / 1e6} if changed is State.OPEN else {}
-                about = {"server": server.entry.id, "request": event.request_id, **kind, **span}
-                self.log("breaker.changed", state=changed.value, **about)
+                about = {"endpoint_id": server.entry.id, "request_id": event.request_id, **kind, **span}
+                self.log("circuit_breaker.changed", state=changed.value, **about)
 
     def is_own(self, server: Server, request: Request) -> bool:
         """Whether failures tell of one class or tenant alone: of late none of the others' requests failed.
@@ -964,7 +966,7 @@
             first_us = min(REPEAT_CALL_MOST_US / 4, self.settings.max_poll_interval_us / 20)
             wait_us = min(REPEAT_CALL_MOST_US, first_us * 2 ** min(self.list_calls_failed - 1, 3))
             wait_us *= self.random.uniform(0.5, 1.0)  # proxies that failed together must not ask together
-            self.log("list.unread")
+            self.log("endpoint_list.unavailable")
             self.set_timer(self.now_us + int(wait_us), self.ask_for_list)
             return
         if event.kind is ListKind.CACHED and not self.settings.endpoints_are_pushed:
@@ -1044,6 +1046,6 @@
         if self.now_us - self.logged_us < LOG_GAP_US:
             self.unsaid += 1
             return
-        fields |= {"unsaid": self.unsaid} if self.unsaid else {}
+        fields |= {"suppressed": self.unsaid} if self.unsaid else {}
         self.logged_us, self.unsaid = self.now_us, 0
         self.actions.append(LogEvent(event, tuple(fields.items())))
--- a/load_balancer/gateway/discovery.py
+++ b/load_balancer/gateway/discovery.py
@@ -107,7 +107,7 @@
         """
         if address == self._address:
             return
-        log_event("discovery.moved", address=f"{address[0]}:{address[1]}")
+        log_event("discovery.address_changed", address=f"{address[0]}:{address[1]}")
         self._address = address
         if self._is_subscribed:
             self.set_subscribed(False)
@@ -139,7 +139,7 @@
             event = decode_list(data, self._names, self._cached)
         except DiscoveryFormatError as error:
             shown = f"{data!r:.{LOGGED_MESSAGE_CHARACTERS}}"
-            log_event("discovery.message_skipped", error=error, text=shown)
+            log_event("discovery.message_skipped", error=error, payload=shown)
             return False
         self._index = event.index
         self._failures_in_a_row = 0
--- a/load_balancer/gateway/discovery_call.py
+++ b/load_balancer/gateway/discovery_call.py
@@ -73,7 +73,7 @@
         if self.is_closed:
             return
         self.close()
-        log_event("discovery.call_failed", why=reason)
+        log_event("discovery.call_failed", reason=reason)
         self._on_failure(self)
 
     def _restart_silence_timer(self) -> None:
--- a/load_balancer/gateway/event_log.py
+++ b/load_balancer/gateway/event_log.py
@@ -42,8 +42,6 @@
             fields |= {"error": repr(error), "exc_info": error}
         else:
             fields["error"] = str(error)
-    if "klass" in fields:
-        fields["class"] = fields.pop("klass")
     for field_name, value in fields.items():
         if isinstance(value, str) and len(value) > MAX_VALUE_CHARACTERS:
             fields[field_name] = value[:MAX_VALUE_CHARACTERS]
@@ -87,7 +85,9 @@
         level = min(max(logging.DEBUG, record.levelno // 10 * 10), logging.CRITICAL)
         error = record.exc_info[1] if record.exc_info else None
         traceback = {"exc_info": error} if error is not None else {}
-        log_event("library.said", level=level, logger=record.name, line=record.getMessage(), **traceback)
+        log_event(
+            "library.message", level=level, logger=record.name, message=record.getMessage(), **traceback
+        )
 
 
 class FormattableEvent(dict[str, Any]):
--- a/load_balancer/gateway/log_events_page.py
+++ b/load_balancer/gateway/log_events_page.py
@@ -5,7 +5,14 @@
 from collections.abc import Sequence
 from logging import getLevelName
 
-from load_balancer.gateway.log_events import EVENTS, FIELDS, MAX_COUNTED_KEYS, RegisteredEvent
+from load_balancer.gateway.log_events import (
+    EVENTS,
+    FIELDS,
+    MAX_COUNTED_KEYS,
+    RENAMED_EVENTS,
+    RENAMED_FIELDS,
+    RegisteredEvent,
+)
 
 INTRODUCTION = f"""# What the gateway logs
 
@@ -17,21 +24,27 @@
 An event is written at once. What repeats within a second, that is the same event with the same values of the
 fields under "counted by", is counted and written at the end of that second, once, with the fields of the last
 and `repeated`; so it goes on, one line a second, until a second is without. {MAX_COUNTED_KEYS} such counts
-are kept at a time; what is beyond them is counted by event and written once a second as `log.others`. What is
-counted when the process ends is written then. Every event may carry `repeated`, and an error of the gateway's
-own `exception`.
+are kept at a time; what is beyond them is counted by event and written once a second as `log.overflow`. What
+is counted when the process ends is written then. Every event may carry `repeated`, and an error of the
+gateway's own `exception`.
 
 This page is made by `python -m load_balancer.gateway.event_log`; a test compares the two.
 """
+RENAMING = """## Renamed
+
+Events and fields that earlier versions logged by other names.
+"""
 
 
 def render_page() -> str:
     """Return the text of docs/events.md."""
     events = [_event_row(event) for event in EVENTS.values()]
     fields = [(_code(name), meaning) for name, meaning in FIELDS.items()]
+    renamed = [(_code(old), _code(new)) for old, new in (RENAMED_EVENTS | RENAMED_FIELDS).items()]
     tables = (
         _table(("event", "level", "sentence", "when", "fields", "counted by"), events),
         _table(("field", "what it holds"), fields),
+        f"{RENAMING}\n{_table(('old name', 'new name'), renamed)}",
     )
     return "\n".join((INTRODUCTION, *tables))
 
--- a/load_balancer/gateway/proxy.py
+++ b/load_balancer/gateway/proxy.py
@@ -195,14 +195,14 @@
         try:
             actions = self.balancer.handle(self.clock.now_us(), event)
         except Exception as error:
-            log_event("balancer.failed", what=repr(event), error=error, **self.facts(event))
+            log_event("balancer.failed", subject=repr(event), error=error, **self.facts(event))
             self.answer_broken(getattr(event, "request_id", None))
             return
         for action in actions:
             try:
                 self.carry_out(action)
             except Exception as error:
-                log_event("action.failed", what=repr(action), error=error, **self.facts(action))
+                log_event("action.failed", subject=repr(action), error=error, **self.facts(action))
                 self.answer_broken(getattr(action, "request_id", None))
 
     def answer_broken(self, number: str | None) -> None:
@@ -250,14 +250,14 @@
     def named(self, fields: Iterable[tuple[str, object]]) -> dict[str, object]:
         """The balancer's fields, with names of class and tenant for their numbers, and a server's address."""
         told = dict(fields)
-        numbers = (("klass", self.generation.class_ids, self.names.classes),)
+        numbers = (("request_class", self.generation.class_ids, self.names.classes),)
         for name, known, names in (*numbers, ("tenant", self.generation.tenant_ids, self.names.tenants)):
             number = told.get(name)
             if isinstance(number, int) and names and number in known:
                 told[name] = names[known.index(number)]
             elif not names:  # no deployment of tenants
                 told.pop(name, None)
-        server = told.get("server")
+        server = told.get("endpoint_id")
         if isinstance(server, int) and (address := self.upstream.authority(server)):
             told["address"] = address.decode()
         return told
@@ -266,17 +266,17 @@
         """The fields of what an event, an action or a request is about, as far as they are known."""
         number = about.id if isinstance(about, Request) else getattr(about, "request_id", None)
         request = self.requests.get(number) if number is not None else None
-        told = {"request": number, "server": getattr(about, "endpoint_id", None)}
+        told = {"request_id": number, "endpoint_id": getattr(about, "endpoint_id", None)}
         if request is not None:
             names, asked = request.names, request.asked
-            told |= {"klass": names.classes[asked.klass], "generation": request.under.number}
+            told |= {"request_class": names.classes[asked.klass], "settings_version": request.under.number}
             told |= {"tenant": names.tenants[asked.tenant]} if names.tenants else {}
         return self.named((name, value) for name, value in told.items() if value is not None)
 
     def tell_unsaid(self) -> None:
         unsaid, self.balancer.unsaid = self.balancer.unsaid, 0
         if unsaid:
-            log_event("balancer.unsaid", unsaid=unsaid)
+            log_event("balancer.suppressed", suppressed=unsaid)
 
     # Requests
 
@@ -330,7 +330,7 @@
     def answer_at_last(self, request: Request) -> None:
         """Guards against a request that nobody has answered when its client is about to give up."""
         if request.reply is not None:
-            log_event("request.unanswered", **self.facts(request))
+            log_event("request.deadline_exceeded", **self.facts(request))
             self.settle(request, text_response(504, "out of time"))
             self.feed(ClientDisconnected(request.id))
             self.forget_if_over(request)
@@ -366,7 +366,7 @@
     def send(self, action: Send) -> None:
         request = self.requests.get(action.request_id)
         if request is None:
-            log_event("attempt.unowned", **self.facts(action))
+            log_event("attempt.orphaned", **self.facts(action))
             return
         number, sent_us = len(request.attempts), self.clock.now_us()
         left_us = min(action.timeout_us, request.deadline_us - sent_us)
--- a/load_balancer/gateway/reload.py
+++ b/load_balancer/gateway/reload.py
@@ -70,7 +70,7 @@
                 try:
                     await self.take_over()
                 except ConfigError as error:
-                    log_event("config.kept", error=error, generation=self.proxy.generation.number)
+                    log_event("config.rejected", error=error, settings_version=self.proxy.generation.number)
                 finally:
                     gc.enable()  # what is left over is garbage by its reference count
                 trim_heap()
@@ -87,14 +87,16 @@
                 )
         number = self.proxy.generation.number
         if config.content == before.content:
-            log_event("config.same", generation=number, content=config.content[:12])
+            log_event("config.unchanged", settings_version=number, settings_digest=config.content[:12])
         else:
             generation = await run_cooperatively(next_version(self.proxy.generation, config.settings))
             lookup = await run_cooperatively(lookup_steps(config, self.downstream.lookup))
             # In one turn of the loop: a request is taken by the names and the settings of one generation.
             self.proxy.take_over(config, generation)
             self.downstream.lookup = lookup
-            log_event("config.taken_over", generation=generation.number, content=config.content[:12])
+            log_event(
+                "config.applied", settings_version=generation.number, settings_digest=config.content[:12]
+            )
         self.config = config
         self.proxy.config = config
         self.proxy.discovery.change_address(config.discovery)
--- a/load_balancer/gateway/repeat_counter.py
+++ b/load_balancer/gateway/repeat_counter.py
@@ -132,7 +132,7 @@
         if not self._overflow:
             return
         counts = " ".join(f"{name}:{count}" for name, count in sorted(self._overflow.items()))
-        self._write(EVENTS["log.others"], {"repeated": self._overflow.total(), "events": counts})
+        self._write(EVENTS["log.overflow"], {"repeated": self._overflow.total(), "event_counts": counts})
         self._overflow.clear()
 
 
--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -121,7 +121,7 @@
         async with watched() as (it, watch):
             watch.write(chunk(bad + "\n") + chunk(news(entry("h2", it.host.address))))
             assert await next_list(it) == (ListKind.DELTA, ["h2 ready"])
-            assert "skipped what discovery said" in caplog.text
+            assert "skipped a message of discovery" in caplog.text
 
     run(test())
 
@@ -290,7 +290,7 @@
             watch.write(chunk(json.dumps(json.loads(news(entry("h3", it.host.address))), indent=1) + "\n"))
             assert await next_list(it) == (ListKind.DELTA, ["h3 ready"])
             event_log.flush()  # the second within a second is counted
-            assert caplog.text.count("skipped what discovery said") == 2
+            assert caplog.text.count("skipped a message of discovery") == 2
 
     run(test())
 
--- a/tests/gateway/test_event_log.py
+++ b/tests/gateway/test_event_log.py
@@ -19,6 +19,8 @@
     EVENTS,
     FIELDS,
     MAX_COUNTED_KEYS,
+    RENAMED_EVENTS,
+    RENAMED_FIELDS,
     RegisteredEvent,
 )
 from load_balancer.gateway.log_events_page import render_page
@@ -36,14 +38,21 @@
     assert all(set(event.key) <= set(event.fields) for event in EVENTS.values())
 
 
+def test_renamed_names_lead_to_registered_ones_and_are_free() -> None:
+    assert set(RENAMED_EVENTS.values()) <= EVENTS.keys()
+    assert set(RENAMED_FIELDS.values()) <= FIELDS.keys()
+    assert not RENAMED_EVENTS.keys() & EVENTS.keys()
+    assert not RENAMED_FIELDS.keys() & FIELDS.keys()
+
+
 def test_every_call_tells_of_a_registered_event_with_its_fields() -> None:
-    told = {"log.others"}  # by repeat_counter.py
+    told = {"log.overflow"}  # by repeat_counter.py
     for path in sorted((ROOT / "load_balancer").rglob("*.py")):
         for node in (node for node in ast.walk(ast.parse(path.read_text())) if isinstance(node, ast.Call)):
             called, where = ast.unparse(node.func), f"{path.name}:{node.lineno}"
             past = re.fullmatch(r"(log|logging|print)(\.\w+)?", called)
             assert not past or path.name in ("cli.py", "event_log.py", "adapter.py"), where
-            fields = {"class" if field.arg == "klass" else field.arg for field in node.keywords}
+            fields = {field.arg for field in node.keywords}
             if called == "self.log" or (
                 called == "log_event" and not isinstance(node.args[0], ast.Attribute)
             ):
@@ -93,14 +102,14 @@
     counted, told = loop.counted, loop.told
     for n in range(150):  # for a second and a half
         loop.run_until(n / 100)
-        counted.add(event, {"error": "a", "request": str(n)})
+        counted.add(event, {"error": "a", "request_id": str(n)})
     counted.add(event, {"error": "b"})
     loop.run_until(9.0)
     assert told == [
-        (0.0, "request.failed", {"error": "a", "request": "0"}),
-        (1.0, "request.failed", {"error": "a", "request": "99", "repeated": 99}),
+        (0.0, "request.failed", {"error": "a", "request_id": "0"}),
+        (1.0, "request.failed", {"error": "a", "request_id": "99", "repeated": 99}),
         (1.49, "request.failed", {"error": "b"}),
-        (2.0, "request.failed", {"error": "a", "request": "149", "repeated": 50}),
+        (2.0, "request.failed", {"error": "a", "request_id": "149", "repeated": 50}),
     ]
     assert loop.call is None
     assert not counted.windows
@@ -111,10 +120,10 @@
 @pytest.mark.parametrize("end", ["timer", "flush", "another loop", "late timer"])
 def test_every_event_is_told_or_counted(end: str) -> None:
     """Beyond the keys that are kept, by event alone; what is held does not grow with what comes."""
-    loop, event, came = Loop(), EVENTS["library.said"], 30 * MAX_COUNTED_KEYS
+    loop, event, came = Loop(), EVENTS["library.message"], 30 * MAX_COUNTED_KEYS
     counted, told = loop.counted, loop.told
     for n in range(came):
-        counted.add(event, {"line": str(n // 3), "logger": "x"})
+        counted.add(event, {"message": str(n // 3), "logger": "x"})
     assert len(told) == len(counted.windows) == MAX_COUNTED_KEYS
     if end == "flush":
         counted.flush()
@@ -124,35 +133,37 @@
         loop.now = 1.0 if end == "timer" else 1.5
     if end in ("another loop", "late timer"):
         came += 1
-        counted.add(event, {"line": "0", "logger": "x"})
+        counted.add(event, {"message": "0", "logger": "x"})
     if end != "another loop":
         loop.run_until(9.0)
     assert loop.call is None
-    (others,) = (fields for _, name, fields in told if name == "log.others")
-    assert others["events"] == f"library.said:{others['repeated']}"
+    (others,) = (fields for _, name, fields in told if name == "log.overflow")
+    assert others["event_counts"] == f"library.message:{others['repeated']}"
     assert sum(int(str(fields.get("repeated", 1))) for *_, fields in told) == came
 
 
 @pytest.mark.parametrize("form", ["text", "json"])
 def test_the_forms(form: str, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch) -> None:
     async def say() -> None:
-        event_log.log_event("breaker.changed", server=5, klass="buy card", state="open", cooldown_s=2.0)
-        event_log.log_event("config.refused", error=ValueError("no name"))
+        event_log.log_event(
+            "circuit_breaker.changed", endpoint_id=5, request_class="buy card", state="open", cooldown_s=2.0
+        )
+        event_log.log_event("config.invalid", error=ValueError("no name"))
         record = {"name": "asyncio", "levelno": logging.ERROR, "msg": "two\nlines %s", "args": ("more",)}
         event_log.LibraryHandler().handle(logging.makeLogRecord(record))
         for _ in range(2):
             try:
                 raise RuntimeError("a fault")
             except RuntimeError as error:
-                event_log.log_event("request.failed", error=error, request="7")
+                event_log.log_event("request.failed", error=error, request_id="7")
 
     event_log.flush()
     caplog.set_level(logging.INFO)
     monkeypatch.setattr(caplog.handler, "formatter", make_formatter({"ROUTER_LOG": form}))
     run(say())
     event_log.flush()
-    fault = r"""ERROR failed on a request error="?RuntimeError\('a fault'\)"? request=7"""
-    expected = rf"""@INFO server 5: breaker open cooldown_s=2.0 class="buy card"
+    fault = r"""ERROR failed on a request error="?RuntimeError\('a fault'\)"? request_id=7"""
+    expected = rf"""@INFO endpoint 5: circuit breaker open request_class="buy card" cooldown_s=2.0
 load_balancer: no name
 @ERROR two\nlines more logger=asyncio
 @{fault}\nTraceback (?s:.*)\nRuntimeError: a fault
@@ -163,16 +174,22 @@
     said = [json.loads(line) for line in caplog.text.splitlines()]
     assert all(re.fullmatch(r"\d{4}-\d\d-\d\dT[\d:]{8}\.\d{3}\+00:00", one.pop("time")) for one in said)
     breaker, _, library, raised, again = said
-    changed = {"level": "info", "event": "breaker.changed", "server": 5, "class": "buy card", "state": "open"}
+    changed = {
+        "level": "info",
+        "event": "circuit_breaker.changed",
+        "endpoint_id": 5,
+        "request_class": "buy card",
+        "state": "open",
+    }
     assert breaker == changed | {"cooldown_s": 2.0}
     assert library == {
         "level": "error",
-        "event": "library.said",
+        "event": "library.message",
         "logger": "asyncio",
-        "line": "two\nlines more",
+        "message": "two\nlines more",
     }
     assert raised["exception"].endswith("RuntimeError: a fault")
-    assert again.keys() == {"level", "event", "error", "request", "repeated"}
+    assert again.keys() == {"level", "event", "error", "request_id", "repeated"}
 
 
 def test_a_process_asked_for_json_writes_nothing_else_and_all_of_it(tmp_path: Path) -> None:
@@ -186,7 +203,7 @@
     assert sum(one.get("repeated", 1) for one in said if one["event"] == "discovery.entry_skipped") == 3
     assert [one["event"] for one in said].count("gateway.start_failed") == 1
     (line,) = start("", ROUTER_LOG="json").stderr.splitlines()
-    assert json.loads(line)["event"] == "config.refused"
+    assert json.loads(line)["event"] == "config.invalid"
 
 
 def test_what_concerns_a_request_names_it(caplog: pytest.LogCaptureFixture) -> None:
@@ -201,9 +218,9 @@
 
             def broken(now_us: int, event: Event) -> list[Action]:
                 if isinstance(event, RequestArrived):
-                    fields = (("server", server), ("klass", 0), ("tenant", 1))
+                    fields = (("endpoint_id", server), ("request_class", 0), ("tenant", 1))
                     return [
-                        LogEvent("breaker.changed", (*fields, ("state", "open"))),
+                        LogEvent("circuit_breaker.changed", (*fields, ("state", "open"))),
                         send("1", server, "no number"),
                     ]
                 return handle(now_us, event)
@@ -213,11 +230,15 @@
             it.proxy.sweep()
             said: list[Any] = [record.msg for record in caplog.records if record.name == "load_balancer"]
             breaker, failed, unsaid = (one for one in said if not one["event"].startswith("discovery"))
-            about = {"class": it.proxy.config.names.classes[0], "tenant": "zeta", "server": server}
+            about = {
+                "request_class": it.proxy.config.names.classes[0],
+                "tenant": "zeta",
+                "endpoint_id": server,
+            }
             about["address"] = it.host.address
-            assert breaker == about | {"event": "breaker.changed", "state": "open"}
-            assert failed.items() >= (about | {"event": "action.failed", "request": "1"}).items()
-            assert unsaid == {"event": "balancer.unsaid", "unsaid": 3}
+            assert breaker == about | {"event": "circuit_breaker.changed", "state": "open"}
+            assert failed.items() >= (about | {"event": "action.failed", "request_id": "1"}).items()
+            assert unsaid == {"event": "balancer.suppressed", "suppressed": 3}
             assert not it.proxy.balancer.unsaid
 
     caplog.set_level(logging.INFO)
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -234,7 +234,7 @@
             path.write_text("{")
             child.send_signal(signal.SIGHUP)
             assert child.stderr is not None
-            assert b"kept the old" in await child.stderr.readline()
+            assert b"rejected the new" in await child.stderr.readline()
             path.write_text(json.dumps({**json.loads(good), "discovery": second.address}))
             child.send_signal(signal.SIGHUP)
             await second.watches.get()
--- a/tests/gateway/test_reload.py
+++ b/tests/gateway/test_reload.py
@@ -120,7 +120,7 @@
             assert it.number == 1
             assert it.gateway.downstream.lookup is before
             (one,) = said(caplog)
-            assert (one["event"], one["generation"]) == ("config.same", 1)
+            assert (one["event"], one["settings_version"]) == ("config.unchanged", 1)
 
     caplog.set_level(logging.INFO)
     run(test())
@@ -165,8 +165,8 @@
             await it.over()
             assert it.number == 1
             (one,) = said(caplog)
-            assert one["event"] == "config.kept"
-            assert one["generation"] == 1
+            assert one["event"] == "config.rejected"
+            assert one["settings_version"] == 1
             error = str(one["error"])
             assert named in error
             assert len(error.splitlines()) == 1
--- a/tests/test_decision_transcripts.py
+++ b/tests/test_decision_transcripts.py
@@ -111,11 +111,11 @@
 
 def test_transcripts_hold_breakers_that_open_and_close() -> None:
     """One closes only from half-open, and a cooldown is doubled only where one opens from half-open."""
-    log = [line for path in PATHS for line in logged(path) if "breaker.changed" in line]
+    log = [line for path in PATHS for line in logged(path) if "circuit_breaker.changed" in line]
     assert sum("state=open" in line for line in log) >= 20
     assert sum("state=closed" in line for line in log) >= 10
     assert sum("cooldown_s=2.0" in line for line in log) >= 3
-    assert sum("klass=" in line for line in log) >= 1
+    assert sum("request_class=" in line for line in log) >= 1
 
 
 def test_a_small_change_of_a_constant_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -197,7 +197,7 @@
     third = driver.arrive(klass=7)[1]
     assert [sum(isinstance(a, LogEvent) for a in actions) for actions in (first, second, third)] == [1, 0, 1]
     (line,) = (a for a in third if isinstance(a, LogEvent))
-    assert dict(line.fields)["unsaid"] == 1 and format_action(line).endswith(" unsaid=1")
+    assert dict(line.fields)["suppressed"] == 1 and format_action(line).endswith(" suppressed=1")
 
 
 def test_servers_in_other_zones_weigh_less_by_the_price_of_crossing() -> None:
