--- a/load_balancer/__main__.py
+++ b/load_balancer/__main__.py
@@ -1,4 +1,4 @@
-"""The gateway's process: start, signals, exit code."""
+"""The gateway's process: its start, its signals and its exit codes. With arguments, the command line."""
 
 from __future__ import annotations
 
@@ -16,53 +16,72 @@
 from load_balancer.gateway.proxy import Proxy
 from load_balancer.gateway.reload import ConfigReloader, trim_heap
 
+EXIT_OK = 0
+EXIT_START_FAILED = 1
+EXIT_CONFIG_INVALID = 2
+
 
 async def serve(config: Config) -> None:
-    """Run until told to end, and then until everything taken is answered."""
+    """Run the gateway until SIGTERM or SIGINT, and then until every accepted request is answered.
+
+    Raises:
+        OSError: If an address that the configuration names cannot be listened on.
+    """
     loop = asyncio.get_running_loop()
-    told = asyncio.Event()
+    stop_requested = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, told.set)
+        loop.add_signal_handler(number, stop_requested.set)
     proxy = Proxy(config, loop)
-    downstream = ClientServer(config, proxy, loop)
-    reloader = ConfigReloader(config, proxy, downstream)
-    loop.add_signal_handler(signal.SIGHUP, reloader.tell)
+    client_server = ClientServer(config, proxy, loop)
+    reloader = ConfigReloader(config, proxy, client_server)
+    loop.add_signal_handler(signal.SIGHUP, reloader.request_reload)
     await proxy.start()
     gc.collect()
-    gc.freeze()  # the hosts known stay as long as the process: no collection need look at thousands of them
+    gc.freeze()  # the cached endpoints live as long as the process: no collection need visit them
     trim_heap()
-    await downstream.start()
+    await client_server.start()
     log_event("gateway.listening", name=config.name, listen=f"{config.listen[0]}:{config.listen[1]}")
-    await told.wait()
-    await downstream.drain()
+    await stop_requested.wait()
+    await client_server.drain()
     loop.remove_signal_handler(signal.SIGHUP)
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # nor after
+    _ignore_sighup()  # from here to the end of the process
     reloader.close()
     proxy.close()
 
 
-def main() -> int:
-    if len(sys.argv) > 1:
-        from load_balancer.cli import command
+def _ignore_sighup() -> None:
+    """Keep SIGHUP, which asks for a reload, from ending the process while there is no gateway to reload."""
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
-        return int(command(prog_name="python -m load_balancer") or 0)
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # before there is a gateway to tell it to, it ends none
+
+def run_gateway() -> int:
+    """Run the gateway that the environment describes; returns the exit code."""
+    _ignore_sighup()
     configure_logging(os.environ)
     try:
         config = load_config(os.environ)
     except ConfigError as error:
         log_event("config.invalid", error=error)
-        return 2
+        return EXIT_CONFIG_INVALID
     gc.freeze()  # what the imports made is never garbage
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(serve(config))
     except OSError as error:
         log_event("gateway.start_failed", error=error)
-        return 1
+        return EXIT_START_FAILED
     finally:
         flush()
-    return 0
+    return EXIT_OK
+
+
+def main() -> int:
+    """Run a command where there are arguments, and the gateway where there are none."""
+    if len(sys.argv) > 1:
+        from load_balancer.cli import command  # a gateway need not hold what the commands import
+
+        return int(command(prog_name="python -m load_balancer") or 0)
+    return run_gateway()
 
 
 if __name__ == "__main__":
--- a/load_balancer/cli.py
+++ b/load_balancer/cli.py
@@ -28,7 +28,7 @@
     run_to_completion,
 )
 from load_balancer.decisions.settings_version import SettingsVersion, initial_version, next_version
-from load_balancer.gateway.reload import FIXED
+from load_balancer.gateway.reload import restart_only_changes
 
 MOST_FAULTS = 10
 MOST_LINES = 20
@@ -136,7 +136,7 @@
         yield from lines[:most]
         if lines[most:]:
             yield f"  ... and {len(lines) - most} more (--all names them)"
-    fixed = [path for path, of in FIXED.items() if of(old) != of(new)]
+    fixed = [setting.path for setting in restart_only_changes(old, new)]
     yield from listed("other settings, in force at once", changes(was, will))
     for what, keys in (("in force at once", AT_ONCE), ("only at the next start", AT_START)):
         yield from listed(what, changes(pick(old_form, keys), pick(new_form, keys)))
--- a/load_balancer/gateway/reload.py
+++ b/load_balancer/gateway/reload.py
@@ -1,4 +1,4 @@
-"""A replaced configuration, taken over under way: read beside the traffic, put in force at once."""
+"""Reloading of the configuration: read beside the traffic, in small steps, and applied at once."""
 
 from __future__ import annotations
 
@@ -7,105 +7,148 @@
 import gc
 import os
 from collections.abc import Callable, Generator, Mapping
+from dataclasses import dataclass
 from typing import TypeVar
 
 from load_balancer.config.file import Config, ConfigError, read_steps
-from load_balancer.decisions.settings_version import next_version
+from load_balancer.decisions.settings_version import SettingsVersion, next_version
 from load_balancer.gateway.client_server import ClientServer, lookup_steps
 from load_balancer.gateway.event_log import log_event
 from load_balancer.gateway.proxy import Proxy
 
 T = TypeVar("T")
 
-# What a process cannot change under way: its place in the network and in the fleet, what it has divided among
-# its connections, and by which places and calls the list of hosts is read.
-FIXED: dict[str, Callable[[Config], object]] = {
-    "name": lambda config: config.name,
-    "listen": lambda config: config.listen,
-    "limits.sockets": lambda config: config.sockets,
-    "peer_listen": lambda config: config.peer_listen,
-    "settings.index": lambda config: config.settings.gateway_index,
-    "settings.zone": lambda config: config.settings.zone,
-    "settings.zones": lambda config: config.names.zones,
-    "settings.shapes": lambda config: config.names.kinds,
-    "settings.membershipMode": lambda config: config.settings.endpoints_are_pushed,
-    "settings.stage": lambda config: (config.settings.tier, config.settings.tiers),
-}
+LOGGED_DIGEST_CHARACTERS = 12
+
+
+@dataclass(frozen=True, slots=True)
+class RestartOnlySetting:
+    """A setting that only a new process can change.
+
+    Attributes:
+        path: Where it stands in the file.
+        value_in: Returns its value in a configuration.
+    """
+
+    path: str
+    value_in: Callable[[Config], object]
+
+
+# A process cannot change its position in the network and in the fleet, how its sockets are divided among
+# clients and endpoints, or the names by which the endpoint list is read.
+RESTART_ONLY_SETTINGS = (
+    RestartOnlySetting("name", lambda config: config.name),
+    RestartOnlySetting("listen", lambda config: config.listen),
+    RestartOnlySetting("limits.sockets", lambda config: config.sockets),
+    RestartOnlySetting("peer_listen", lambda config: config.peer_listen),
+    RestartOnlySetting("settings.index", lambda config: config.settings.gateway_index),
+    RestartOnlySetting("settings.zone", lambda config: config.settings.zone),
+    RestartOnlySetting("settings.zones", lambda config: config.names.zones),
+    RestartOnlySetting("settings.shapes", lambda config: config.names.kinds),
+    RestartOnlySetting("settings.membershipMode", lambda config: config.settings.endpoints_are_pushed),
+    RestartOnlySetting("settings.stage", lambda config: (config.settings.tier, config.settings.tiers)),
+)
+
+
+def restart_only_changes(before: Config, after: Config) -> list[RestartOnlySetting]:
+    """Return the settings that differ between two configurations and that only a new process can change."""
+    return [each for each in RESTART_ONLY_SETTINGS if each.value_in(before) != each.value_in(after)]
 
 
 class ConfigReloader:
-    """Reads the file when it is told to, once at a time, and hands over what has changed.
+    """Reads the configuration file when asked to, one reading at a time, and applies what has changed.
 
-    Between two steps the loop does other work. Told again while it reads, it reads again afterwards, so that
-    what stands in the file last is what is in force last.
+    Between two steps of a reading the loop does other work. Asked again during a reading, it reads once more
+    afterwards, so that the file's last content is what is in force in the end.
+
+    Args:
+        config: The configuration in force.
+        proxy: Where settings and addresses are applied.
+        client_server: Where the names of classes and tenants are looked up.
+        environ: The environment variables that name the file.
     """
 
     def __init__(
         self,
         config: Config,
         proxy: Proxy,
-        downstream: ClientServer,
+        client_server: ClientServer,
         environ: Mapping[str, str] = os.environ,
     ) -> None:
-        self.config, self.proxy, self.downstream, self.environ = config, proxy, downstream, environ
-        self.told = False  # since the reading under way began
-        self.reading: asyncio.Task[None] | None = None
-
-    def tell(self) -> None:
-        """The file has been replaced."""
-        self.told = True
-        if self.reading is None:
-            self.reading = self.proxy.loop.create_task(self.read())
+        self._config = config
+        self._proxy = proxy
+        self._client_server = client_server
+        self._environ = environ
+        self._is_requested = False  # since the last reading began
+        self._task: asyncio.Task[None] | None = None
+
+    @property
+    def is_reading(self) -> bool:
+        """Whether a reading is under way."""
+        return self._task is not None
+
+    def request_reload(self) -> None:
+        """Read the file, which has been replaced."""
+        self._is_requested = True
+        if self._task is None:
+            self._task = self._proxy.loop.create_task(self._reload_while_requested())
 
     def close(self) -> None:
-        """What is being read comes too late."""
-        if self.reading is not None:
-            self.reading.cancel()
+        """Cancel a reading that is under way; nothing of it is applied."""
+        if self._task is not None:
+            self._task.cancel()
+
+    async def _reload_while_requested(self) -> None:
+        try:
+            while self._is_requested:
+                self._is_requested = False
+                await self._reload()
+        finally:
+            self._task = None
 
-    async def read(self) -> None:
+    async def _reload(self) -> None:
+        gc.disable()  # a full collection would visit all that is being read, in one step of some milliseconds
         try:
-            while self.told:
-                self.told = False
-                gc.disable()  # a full collection looked at all that is read here, in one step of 7 ms
-                try:
-                    await self.take_over()
-                except ConfigError as error:
-                    log_event("config.rejected", error=error, settings_version=self.proxy.generation.number)
-                finally:
-                    gc.enable()  # what is left over is garbage by its reference count
-                trim_heap()
+            await self._read_and_apply()
+        except ConfigError as error:
+            log_event("config.rejected", error=error, settings_version=self._proxy.generation.number)
         finally:
-            self.reading = None
-
-    async def take_over(self) -> None:
-        before = self.config
-        config = await run_cooperatively(read_steps(self.environ, before))
-        for path, of in FIXED.items():
-            if of(config) != of(before):
-                raise ConfigError(
-                    f"{path} differs: expected {of(before)}, which only a new process can change"
-                )
-        number = self.proxy.generation.number
+            gc.enable()  # nothing is left to collect: what the reading drops is freed by its reference count
+        trim_heap()
+
+    async def _read_and_apply(self) -> None:
+        before = self._config
+        config = await run_cooperatively(read_steps(self._environ, before))
+        changes = restart_only_changes(before, config)
+        if changes:
+            expected = changes[0].value_in(before)
+            raise ConfigError(
+                f"{changes[0].path} differs: expected {expected}, which only a new process can change"
+            )
+        version = self._proxy.generation
+        digest = config.content[:LOGGED_DIGEST_CHARACTERS]
         if config.content == before.content:
-            log_event("config.unchanged", settings_version=number, settings_digest=config.content[:12])
+            log_event("config.unchanged", settings_version=version.number, settings_digest=digest)
         else:
-            generation = await run_cooperatively(next_version(self.proxy.generation, config.settings))
-            lookup = await run_cooperatively(lookup_steps(config, self.downstream.lookup))
-            # In one turn of the loop: a request is taken by the names and the settings of one generation.
-            self.proxy.take_over(config, generation)
-            self.downstream.lookup = lookup
-            log_event(
-                "config.applied", settings_version=generation.number, settings_digest=config.content[:12]
-            )
-        self.config = config
-        self.proxy.config = config
-        self.proxy.discovery.change_address(config.discovery)
+            version = await self._apply_settings(config)
+            log_event("config.applied", settings_version=version.number, settings_digest=digest)
+        self._config = config
+        self._proxy.config = config
+        self._proxy.discovery.change_address(config.discovery)
+
+    async def _apply_settings(self, config: Config) -> SettingsVersion:
+        version = await run_cooperatively(next_version(self._proxy.generation, config.settings))
+        lookup = await run_cooperatively(lookup_steps(config, self._client_server.lookup))
+        # In one turn of the loop: a request is read by the names and the settings of one version.
+        self._proxy.take_over(config, version)
+        self._client_server.lookup = lookup
+        return version
 
 
 def trim_heap() -> None:
     """Return freed memory to the system, where the C library can.
 
-    Guards against a process that keeps for good what one reading took for some milliseconds.
+    Otherwise the process would keep what one reading took for some milliseconds.
     """
     trim = getattr(ctypes.CDLL(None), "malloc_trim", None)
     if trim is not None:
@@ -113,7 +156,7 @@
 
 
 async def run_cooperatively(steps: Generator[None, None, T]) -> T:
-    """Run steps with a turn of the loop after each."""
+    """Run steps with a turn of the loop after each; returns their result."""
     while True:
         try:
             next(steps)
--- a/tests/gateway/test_reload.py
+++ b/tests/gateway/test_reload.py
@@ -1,4 +1,4 @@
-"""A replaced configuration is taken over under way: in one order, and no request under another's terms."""
+"""A replaced configuration is applied to a running gateway, and to no request that has arrived before."""
 
 from __future__ import annotations
 
@@ -40,7 +40,9 @@
 
 
 @dataclass
-class Reloaded:
+class ReloadableGateway:
+    """A running gateway, and the file that its configuration is read from."""
+
     gateway: Gateway
     reloader: ConfigReloader
     path: Path
@@ -52,22 +54,21 @@
         new.write_text(json.dumps(raw))
         new.replace(self.path)
 
-    async def over(self) -> None:
-        """Until nothing is read any more."""
-        await until(lambda: self.reloader.reading is None)
+    async def finish_reading(self) -> None:
+        await until(lambda: not self.reloader.is_reading)
 
-    async def take_over(self, settings: object = None, **changed: Any) -> None:
+    async def reload(self, settings: object = None, **changed: Any) -> None:
         self.write(settings, **changed)
-        self.reloader.tell()
-        await self.over()
+        self.reloader.request_reload()
+        await self.finish_reading()
 
     @property
-    def number(self) -> int:
+    def settings_version(self) -> int:
         return self.gateway.proxy.generation.number
 
 
 @asynccontextmanager
-async def reloaded(tmp_path: Path) -> AsyncIterator[Reloaded]:
+async def reloadable(tmp_path: Path) -> AsyncIterator[ReloadableGateway]:
     """A gateway whose configuration stands in a file."""
     async with gateway(hosts=2, settings=FIRST) as it:
         raw = configuration({"h0": it.host.address}, it.registry.address, settings=FIRST)
@@ -78,29 +79,29 @@
         loaded.known.clear()
         reloader = ConfigReloader(loaded, it.proxy, it.downstream, environ)
         try:
-            yield Reloaded(it, reloader, path, raw)
+            yield ReloadableGateway(it, reloader, path, raw)
         finally:
             reloader.close()
 
 
-def said(caplog: pytest.LogCaptureFixture) -> list[dict[str, Any]]:
-    told: list[Any] = [record.msg for record in caplog.records if isinstance(record.msg, dict)]
-    return [one for one in told if one["event"].startswith("config.")]
+def logged(caplog: pytest.LogCaptureFixture) -> list[dict[str, Any]]:
+    events: list[Any] = [record.msg for record in caplog.records if isinstance(record.msg, dict)]
+    return [event for event in events if event["event"].startswith("config.")]
 
 
-def others(*classes: str, **changed: Any) -> dict[str, Any]:
-    """Settings with classes of those names, safe ones but for `buy`."""
+def with_classes(*classes: str, **changed: Any) -> dict[str, Any]:
+    """Settings with classes of those names, idempotent ones but for `buy`."""
     lanes = [lane(name, "single_shot" if name == "buy" else "free") for name in classes]
     return {**FIRST, "lanes": lanes, **changed}
 
 
 def test_a_change_is_in_force_for_the_next_request(tmp_path: Path) -> None:
     async def test() -> None:
-        async with reloaded(tmp_path) as it:
+        async with reloadable(tmp_path) as it:
             client = await it.gateway.client()
             await it.gateway.served(client, ask(Tenant="acme"))
-            await it.take_over(others("buy", "find", tenants=[{"name": "wayne"}]))
-            assert it.number == 2
+            await it.reload(with_classes("buy", "find", tenants=[{"name": "wayne"}]))
+            assert it.settings_version == 2
             assert (await client.ask(ask(Tenant="acme")))[0] == 404  # no such class any more
             assert (await client.ask(ask("find", "GET", Tenant="acme")))[0] == 400
             await it.gateway.served(client, ask("find", "GET", Tenant="wayne"))
@@ -110,34 +111,34 @@
     run(test())
 
 
-def test_the_same_content_changes_nothing_and_says_so(
+def test_the_same_content_changes_nothing_and_is_logged(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        async with reloaded(tmp_path) as it:
+        async with reloadable(tmp_path) as it:
             before = it.gateway.downstream.lookup
-            await it.take_over()
-            assert it.number == 1
+            await it.reload()
+            assert it.settings_version == 1
             assert it.gateway.downstream.lookup is before
-            (one,) = said(caplog)
+            (one,) = logged(caplog)
             assert (one["event"], one["settings_version"]) == ("config.unchanged", 1)
 
     caplog.set_level(logging.INFO)
     run(test())
 
 
-def lanes(**changed: Any) -> dict[str, Any]:
+def with_lane(**changed: Any) -> dict[str, Any]:
     return {**FIRST, "lanes": [{**lane("look", "free"), **changed}]}
 
 
-BAD: list[tuple[str, Callable[[str], str]]] = [
+UNUSABLE_FILES: list[tuple[str, Callable[[str], str]]] = [
     ("ends in the middle", lambda text: text[:-9]),
     (
         "settings.lanes[0].windowUs: expected a finite number, got NaN",
         lambda text: text.replace("60000000", "NaN", 1),
     ),
-    ("settings.lanes[0].aimUs", lambda text: changed(text, lanes(aimUs="x"))),
-    ("settings.lanes[0].giveUpUs", lambda text: changed(text, lanes(giveUpUs=-1))),
+    ("settings.lanes[0].aimUs", lambda text: changed(text, with_lane(aimUs="x"))),
+    ("settings.lanes[0].giveUpUs", lambda text: changed(text, with_lane(giveUpUs=-1))),
     ("settings.tenants[1].name", lambda text: changed(text, {**FIRST, "tenants": TENANTS[:1] * 2})),
     ("settings.zones differs", lambda text: changed(text, {**FIRST, "zones": ["b", "a"]})),
     ("limits.sockets differs", lambda text: text.replace("1024", "512")),
@@ -149,8 +150,8 @@
     return json.dumps({**json.loads(text), "settings": settings})
 
 
-@pytest.mark.parametrize(("named", "spoil"), BAD)
-def test_a_file_that_cannot_be_used_is_one_line_and_changes_nothing(
+@pytest.mark.parametrize(("named", "spoil"), UNUSABLE_FILES)
+def test_an_unusable_file_is_logged_in_one_line_and_changes_nothing(
     named: str,
     spoil: Callable[[str], str],
     tmp_path: Path,
@@ -158,13 +159,13 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        async with reloaded(tmp_path) as it:
+        async with reloadable(tmp_path) as it:
             monkeypatch.setattr(configs, "CONFIG_LIMIT", 2_000)
             it.path.write_text(spoil(it.path.read_text()))
-            it.reloader.tell()
-            await it.over()
-            assert it.number == 1
-            (one,) = said(caplog)
+            it.reloader.request_reload()
+            await it.finish_reading()
+            assert it.settings_version == 1
+            (one,) = logged(caplog)
             assert one["event"] == "config.rejected"
             assert one["settings_version"] == 1
             error = str(one["error"])
@@ -176,19 +177,19 @@
     run(test())
 
 
-def test_a_request_that_is_out_ends_under_its_own_generation(tmp_path: Path) -> None:
-    """Its class has gone to another place, its tenant is gone; where it stood is one that may be repeated."""
+def test_a_request_in_flight_ends_under_its_own_settings_version(tmp_path: Path) -> None:
+    """Its class has another index, its tenant is gone; an idempotent class has the index it had."""
 
     async def test() -> None:
-        async with reloaded(tmp_path) as it:
+        async with reloadable(tmp_path) as it:
             client, other = await it.gateway.client(), await it.gateway.client()
             client.send(ask("buy", "POST", Tenant="umbrella"))
             taken = await it.gateway.host.taken.get()
             other.send(ask(Tenant="umbrella"))
             served = await it.gateway.host.taken.get()
-            changed = others("find", "pay", "look", "buy", tenants=[{"name": "acme"}])
+            changed = with_classes("find", "pay", "look", "buy", tenants=[{"name": "acme"}])
             changed["caps"]["maxAttempts"] = 4
-            await it.take_over(changed)
+            await it.reload(changed)
             taken.writer.transport.abort()  # it may have run, and must not run twice
             assert (await client.answer())[0] == 502
             served.answer()
@@ -199,14 +200,14 @@
     run(test())
 
 
-def test_a_request_that_is_out_keeps_its_further_attempts(tmp_path: Path) -> None:
+def test_a_request_in_flight_keeps_its_further_attempts(tmp_path: Path) -> None:
     async def test() -> None:
-        async with reloaded(tmp_path) as it:
-            await it.take_over({**settings(maxAttempts=2), "tenants": TENANTS})
+        async with reloadable(tmp_path) as it:
+            await it.reload({**settings(maxAttempts=2), "tenants": TENANTS})
             client = await it.gateway.client()
             client.send(ask(Tenant="acme"))
             taken = await it.gateway.host.taken.get()
-            await it.take_over({**settings(maxAttempts=1), "tenants": TENANTS})
+            await it.reload({**settings(maxAttempts=1), "tenants": TENANTS})
             taken.answer(503, Not_Started="1")
             (await it.gateway.host.taken.get()).answer()
             assert (await client.answer())[0] == 200
@@ -214,13 +215,13 @@
     run(test())
 
 
-def test_a_request_ahead_of_its_turn_is_taken_by_the_generation_of_its_turn(tmp_path: Path) -> None:
+def test_a_pipelined_request_is_read_by_the_settings_version_of_its_turn(tmp_path: Path) -> None:
     async def test() -> None:
-        async with reloaded(tmp_path) as it:
+        async with reloadable(tmp_path) as it:
             client = await it.gateway.client()
             client.send(ask(Tenant="acme") + ask(Tenant="acme") + ask("find", "GET", Tenant="acme"))
             first = await it.gateway.host.taken.get()
-            await it.take_over(others("find"))
+            await it.reload(with_classes("find"))
             first.answer()
             assert (await client.answer())[0] == 200
             assert (await client.answer())[0] == 404  # no `look` any more: answered, not lost
@@ -247,77 +248,77 @@
     return began, free
 
 
-def test_requests_are_served_while_it_is_read_and_what_stands_last_is_in_force(
+def test_requests_are_served_during_a_reading_and_the_last_content_is_applied(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
-        async with reloaded(tmp_path) as it:
+        async with reloadable(tmp_path) as it:
             began, free = hold_reading(monkeypatch)
             client = await it.gateway.client()
-            it.write(others("look", "find"))
-            it.reloader.tell()
+            it.write(with_classes("look", "find"))
+            it.reloader.request_reload()
             await until(lambda: len(began) == 1)
             await it.gateway.served(client, ask(Tenant="acme"))
-            for name in ("second", "third"):  # told twice more: the second is never read
-                it.write(others("look", name))
-                it.reloader.tell()
+            for name in ("second", "third"):  # requested twice more: the second is never read
+                it.write(with_classes("look", name))
+                it.reloader.request_reload()
             free.set()
-            await it.over()
+            await it.finish_reading()
             assert len(began) == 2
-            assert it.number == 3
+            assert it.settings_version == 3
             assert list(it.gateway.downstream.lookup.classes) == [b"look", b"third"]
 
     run(test())
 
 
-@pytest.mark.parametrize("end", ["taken over", "kept", "closed"])
-def test_nothing_is_collected_while_it_is_read(
+@pytest.mark.parametrize("end", ["applied", "rejected", "closed"])
+def test_no_garbage_collection_runs_during_a_reading(
     end: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Full collections of 23,000 pieces fell into single steps."""
+    """A full collection of what is being read would be one long step."""
 
     async def test() -> None:
-        async with reloaded(tmp_path) as it:
+        async with reloadable(tmp_path) as it:
             began, free = hold_reading(monkeypatch)
-            it.write({"lanes": 7} if end == "kept" else others("find"))
-            it.reloader.tell()
+            it.write({"lanes": 7} if end == "rejected" else with_classes("find"))
+            it.reloader.request_reload()
             await until(lambda: bool(began))
             assert not gc.isenabled()
             if end == "closed":
                 it.reloader.close()
             free.set()
-            await it.over()
+            await it.finish_reading()
             assert gc.isenabled()
-            assert it.number == (2 if end == "taken over" else 1)
+            assert it.settings_version == (2 if end == "applied" else 1)
 
     run(test())
 
 
-def test_a_reading_that_is_under_way_at_the_end_changes_nothing(
+def test_a_reading_under_way_at_shutdown_changes_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
-        async with reloaded(tmp_path) as it:
+        async with reloadable(tmp_path) as it:
             began, _ = hold_reading(monkeypatch)
-            it.write(others("find"))
-            it.reloader.tell()
+            it.write(with_classes("find"))
+            it.reloader.request_reload()
             await until(lambda: bool(began))
             it.reloader.close()
-            await it.over()
-            assert it.number == 1
+            await it.finish_reading()
+            assert it.settings_version == 1
 
     run(test())
 
 
-def test_a_change_during_a_drain_holds_for_what_still_comes(tmp_path: Path) -> None:
+def test_a_change_during_a_drain_is_applied_to_later_requests(tmp_path: Path) -> None:
     async def test() -> None:
-        async with reloaded(tmp_path) as it:
+        async with reloadable(tmp_path) as it:
             client, late = await it.gateway.client(), await it.gateway.client()
             client.send(ask(Tenant="umbrella"))
             taken = await it.gateway.host.taken.get()
             drain = asyncio.ensure_future(it.gateway.downstream.drain())
             await until(lambda: it.gateway.downstream.draining)
-            await it.take_over(others("look", tenants=[{"name": "acme"}]))
+            await it.reload(with_classes("look", tenants=[{"name": "acme"}]))
             await it.gateway.served(late, ask(Tenant="acme"))
             taken.answer()
             assert (await client.answer())[0] == 200
@@ -327,38 +328,38 @@
 
 
 @pytest.mark.parametrize("same", [False, True])
-def test_discovery_moves_with_the_change_and_without_one(same: bool, tmp_path: Path) -> None:
+def test_the_address_of_discovery_changes_with_the_settings_and_without(same: bool, tmp_path: Path) -> None:
     async def test() -> None:
         elsewhere = Registry()
         await elsewhere.start()
-        async with reloaded(tmp_path) as it:
+        async with reloadable(tmp_path) as it:
             _, old = await it.gateway.registry.watches.get()
-            await it.take_over(FIRST if same else others("find"), discovery=elsewhere.address)
+            await it.reload(FIRST if same else with_classes("find"), discovery=elsewhere.address)
             _, watch = await elsewhere.watches.get()
-            assert it.number == (1 if same else 2)
+            assert it.settings_version == (1 if same else 2)
             watch.write(chunk(news(entry("h9", it.gateway.host.address), index=9)))
             await until(lambda: len(it.gateway.proxy.upstream.hosts) == 3)
             old.close()
-            klass = "look" if same else "find"
-            await it.gateway.served(await it.gateway.client(), ask(klass, "GET", Tenant="acme"))
+            request_class = "look" if same else "find"
+            await it.gateway.served(await it.gateway.client(), ask(request_class, "GET", Tenant="acme"))
         elsewhere.stop()
 
     run(test())
 
 
-def test_many_changes_leave_nothing_behind(tmp_path: Path) -> None:
-    """With a request under each generation: what only an ended one had goes with it."""
+def test_many_changes_leave_no_state_behind(tmp_path: Path) -> None:
+    """With a request under each version: what only an earlier one had is dropped."""
 
     async def test() -> None:
-        async with reloaded(tmp_path) as it:
+        async with reloadable(tmp_path) as it:
             client = await it.gateway.client()
             for turn in range(60):
                 tenants = [{"name": "acme"}, {"name": f"t{turn}", "allowancePerS": 5.0}]
-                await it.take_over(others(f"k{turn}", "look", tenants=tenants))
-                for klass, tenant in ((f"k{turn}", f"t{turn}"), ("look", "acme")):
-                    await it.gateway.served(client, ask(klass, "GET", Tenant=tenant))
+                await it.reload(with_classes(f"k{turn}", "look", tenants=tenants))
+                for request_class, tenant in ((f"k{turn}", f"t{turn}"), ("look", "acme")):
+                    await it.gateway.served(client, ask(request_class, "GET", Tenant=tenant))
             balancer = it.gateway.proxy.balancer
-            assert it.number == 61
+            assert it.settings_version == 61
             assert len(balancer.classes) == 2 == len(balancer.classes.by_number)
             assert balancer.demand.asked.keys() <= balancer.classes.by_number.keys()
             assert not it.gateway.proxy.requests
@@ -368,17 +369,17 @@
     run(test())
 
 
-def test_what_a_reading_took_is_given_back(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A process kept 8 MB more from its first change on; also where the file could not be used."""
-    given = list[int]()
-    monkeypatch.setattr(reload, "trim_heap", lambda: given.append(1))
+def test_the_memory_of_a_reading_is_returned(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Also where the file could not be used."""
+    trims = list[int]()
+    monkeypatch.setattr(reload, "trim_heap", lambda: trims.append(1))
 
     async def test() -> None:
-        async with reloaded(tmp_path) as it:
-            for count, change in enumerate((others("find"), others("find"), {"lanes": 7})):
-                await it.take_over(change)
-                assert len(given) == count + 1
-            assert it.number == 2
+        async with reloadable(tmp_path) as it:
+            for count, change in enumerate((with_classes("find"), with_classes("find"), {"lanes": 7})):
+                await it.reload(change)
+                assert len(trims) == count + 1
+            assert it.settings_version == 2
 
     run(test())
     monkeypatch.undo()
@@ -387,13 +388,13 @@
     reload.trim_heap()  # where the C library has no such call
 
 
-def test_a_client_that_leaves_after_the_change_is_heard(tmp_path: Path) -> None:
+def test_a_client_that_disconnects_after_the_change_is_noticed(tmp_path: Path) -> None:
     async def test() -> None:
-        async with reloaded(tmp_path) as it:
+        async with reloadable(tmp_path) as it:
             client: Client = await it.gateway.client()
             client.send(ask(Tenant="umbrella"))
             await it.gateway.host.taken.get()
-            await it.take_over(others("find", tenants=[]))
+            await it.reload(with_classes("find", tenants=[]))
             client.writer.close()
             await it.gateway.event(ClientDisconnected)
             await until(lambda: not it.gateway.proxy.requests)
