--- a/tests/gateway/test_event_log.py
+++ b/tests/gateway/test_event_log.py
@@ -1,4 +1,4 @@
-"""The log: its forms, what repeats, and the page that lists the events."""
+"""The log: its forms, the counting of repeats, and the page that lists the events."""
 
 import ast
 import json
@@ -25,7 +25,7 @@
 )
 from load_balancer.gateway.log_events_page import render_page
 from load_balancer.gateway.repeat_counter import Fields, RepeatCounter
-from tests.gateway.test_process import start
+from tests.gateway.test_process import run_process
 from tests.sockets import ask, configuration, gateway, run, settings
 
 ROOT = Path(__file__).parents[2]
@@ -45,13 +45,13 @@
     assert not RENAMED_FIELDS.keys() & FIELDS.keys()
 
 
-def test_every_call_tells_of_a_registered_event_with_its_fields() -> None:
-    told = {"log.overflow"}  # by repeat_counter.py
+def test_every_call_logs_a_registered_event_with_its_fields() -> None:
+    logged = {"log.overflow"}  # by repeat_counter.py
     for path in sorted((ROOT / "load_balancer").rglob("*.py")):
         for node in (node for node in ast.walk(ast.parse(path.read_text())) if isinstance(node, ast.Call)):
             called, where = ast.unparse(node.func), f"{path.name}:{node.lineno}"
-            past = re.fullmatch(r"(log|logging|print)(\.\w+)?", called)
-            assert not past or path.name in ("cli.py", "event_log.py", "adapter.py"), where
+            bypass = re.fullmatch(r"(log|logging|print)(\.\w+)?", called)
+            assert not bypass or path.name in ("cli.py", "event_log.py", "adapter.py"), where
             fields = {field.arg for field in node.keywords}
             if called == "self.log" or (
                 called == "log_event" and not isinstance(node.args[0], ast.Attribute)
@@ -63,8 +63,8 @@
             event = EVENTS[name.value]
             assert fields - {None, "level"} <= set(event.fields), where
             assert None in fields or event.sentence_fields <= fields, where
-            told.add(event.name)
-    assert told == EVENTS.keys()
+            logged.add(event.name)
+    assert logged == EVENTS.keys()
 
 
 class Loop:
@@ -73,11 +73,11 @@
     now, due, call = 0.0, 0.0, None
 
     def __init__(self) -> None:
-        self.told: list[tuple[float, str, Fields]] = []
-        self.counted = RepeatCounter(self.tell, lambda: self)  # type: ignore[arg-type, return-value]
+        self.written: list[tuple[float, str, Fields]] = []
+        self.counter = RepeatCounter(self.write, lambda: self)  # type: ignore[arg-type, return-value]
 
-    def tell(self, event: RegisteredEvent, fields: Fields) -> None:
-        self.told.append((self.now, event.name, fields))
+    def write(self, event: RegisteredEvent, fields: Fields) -> None:
+        self.written.append((self.now, event.name, fields))
 
     def time(self) -> float:
         return self.now
@@ -97,53 +97,55 @@
         self.now = until
 
 
-def test_repeats_are_told_once_a_second_with_their_count() -> None:
+def test_repeats_are_written_once_a_second_with_their_count() -> None:
     loop, event = Loop(), EVENTS["request.failed"]
-    counted, told = loop.counted, loop.told
+    counter, written = loop.counter, loop.written
     for n in range(150):  # for a second and a half
         loop.run_until(n / 100)
-        counted.add(event, {"error": "a", "request_id": str(n)})
-    counted.add(event, {"error": "b"})
+        counter.add(event, {"error": "a", "request_id": str(n)})
+    counter.add(event, {"error": "b"})
     loop.run_until(9.0)
-    assert told == [
+    assert written == [
         (0.0, "request.failed", {"error": "a", "request_id": "0"}),
         (1.0, "request.failed", {"error": "a", "request_id": "99", "repeated": 99}),
         (1.49, "request.failed", {"error": "b"}),
         (2.0, "request.failed", {"error": "a", "request_id": "149", "repeated": 50}),
     ]
     assert loop.call is None
-    assert not counted.windows
-    counted.add(event, {"error": "a"})
-    assert told[-1] == (9.0, "request.failed", {"error": "a"})
+    assert not counter.windows
+    counter.add(event, {"error": "a"})
+    assert written[-1] == (9.0, "request.failed", {"error": "a"})
 
 
 @pytest.mark.parametrize("end", ["timer", "flush", "another loop", "late timer"])
-def test_every_event_is_told_or_counted(end: str) -> None:
-    """Beyond the keys that are kept, by event alone; what is held does not grow with what comes."""
+def test_every_event_is_written_or_counted(end: str) -> None:
+    """Beyond the keys that are kept, by event alone: the memory does not grow with the events."""
     loop, event, came = Loop(), EVENTS["library.message"], 30 * MAX_COUNTED_KEYS
-    counted, told = loop.counted, loop.told
+    counter, written = loop.counter, loop.written
     for n in range(came):
-        counted.add(event, {"message": str(n // 3), "logger": "x"})
-    assert len(told) == len(counted.windows) == MAX_COUNTED_KEYS
+        counter.add(event, {"message": str(n // 3), "logger": "x"})
+    assert len(written) == len(counter.windows) == MAX_COUNTED_KEYS
     if end == "flush":
-        counted.flush()
+        counter.flush()
     elif end == "another loop":
-        counted.get_loop = Loop  # type: ignore[assignment]
+        counter.get_loop = Loop  # type: ignore[assignment]
     else:
         loop.now = 1.0 if end == "timer" else 1.5
     if end in ("another loop", "late timer"):
         came += 1
-        counted.add(event, {"message": "0", "logger": "x"})
+        counter.add(event, {"message": "0", "logger": "x"})
     if end != "another loop":
         loop.run_until(9.0)
     assert loop.call is None
-    (others,) = (fields for _, name, fields in told if name == "log.overflow")
+    (others,) = (fields for _, name, fields in written if name == "log.overflow")
     assert others["event_counts"] == f"library.message:{others['repeated']}"
-    assert sum(int(str(fields.get("repeated", 1))) for *_, fields in told) == came
+    assert sum(int(str(fields.get("repeated", 1))) for *_, fields in written) == came
 
 
 @pytest.mark.parametrize("form", ["text", "json"])
-def test_the_forms(form: str, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_events_in_either_form(
+    form: str, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def say() -> None:
         event_log.log_event(
             "circuit_breaker.changed", endpoint_id=5, request_class="buy card", state="open", cooldown_s=2.0
@@ -171,9 +173,9 @@
     if form == "text":
         assert re.fullmatch(expected, caplog.text)
         return
-    said = [json.loads(line) for line in caplog.text.splitlines()]
-    assert all(re.fullmatch(r"\d{4}-\d\d-\d\dT[\d:]{8}\.\d{3}\+00:00", one.pop("time")) for one in said)
-    breaker, _, library, raised, again = said
+    logged = [json.loads(line) for line in caplog.text.splitlines()]
+    assert all(re.fullmatch(r"\d{4}-\d\d-\d\dT[\d:]{8}\.\d{3}\+00:00", event.pop("time")) for event in logged)
+    breaker, _, library, raised, again = logged
     changed = {
         "level": "info",
         "event": "circuit_breaker.changed",
@@ -192,22 +194,24 @@
     assert again.keys() == {"level", "event", "error", "request_id", "repeated"}
 
 
-def test_a_process_asked_for_json_writes_nothing_else_and_all_of_it(tmp_path: Path) -> None:
-    """What is counted when a start fails, its loop closed, is told too."""
+def test_a_process_asked_for_json_writes_every_event_as_json(tmp_path: Path) -> None:
+    """Repeats that are counted when a start fails, its loop closed, are written too."""
     path = tmp_path / "config.json"
     with socket.create_server(("127.0.0.1", 0)) as taken:
         listen = f"127.0.0.1:{taken.getsockname()[1]}"
         raw = configuration({}, "127.0.0.1:1", listen=listen, known={"endpoints": [7, 8, 9]})
         path.write_text(json.dumps(raw))
-        said = [json.loads(line) for line in start(path, ROUTER_LOG="json").stderr.splitlines()]
-    assert sum(one.get("repeated", 1) for one in said if one["event"] == "discovery.entry_skipped") == 3
-    assert [one["event"] for one in said].count("gateway.start_failed") == 1
-    (line,) = start("", ROUTER_LOG="json").stderr.splitlines()
+        logged = [json.loads(line) for line in run_process(path, ROUTER_LOG="json").stderr.splitlines()]
+    assert (
+        sum(event.get("repeated", 1) for event in logged if event["event"] == "discovery.entry_skipped") == 3
+    )
+    assert [event["event"] for event in logged].count("gateway.start_failed") == 1
+    (line,) = run_process("", ROUTER_LOG="json").stderr.splitlines()
     assert json.loads(line)["event"] == "config.invalid"
 
 
-def test_what_concerns_a_request_names_it(caplog: pytest.LogCaptureFixture) -> None:
-    """With its class and tenant by name, and the server by address; what the balancer left out is counted."""
+def test_an_event_of_a_request_names_it(caplog: pytest.LogCaptureFixture) -> None:
+    """With its class and tenant by name, and the endpoint by address; suppressed lines are counted."""
 
     async def test() -> None:
         async with gateway(settings={**settings(), "tenants": [{"name": "acme"}, {"name": "zeta"}]}) as it:
@@ -228,8 +232,10 @@
             it.proxy.balancer.handle = broken  # type: ignore[method-assign]
             assert (await (await it.client()).ask(ask(Tenant="zeta")))[0] == 500
             it.proxy.sweep()
-            said: list[Any] = [record.msg for record in caplog.records if record.name == "load_balancer"]
-            breaker, failed, unsaid = (one for one in said if not one["event"].startswith("discovery"))
+            logged: list[Any] = [record.msg for record in caplog.records if record.name == "load_balancer"]
+            breaker, failed, suppressed = (
+                event for event in logged if not event["event"].startswith("discovery")
+            )
             about = {
                 "request_class": it.proxy.config.names.classes[0],
                 "tenant": "zeta",
@@ -238,7 +244,7 @@
             about["address"] = it.host.address
             assert breaker == about | {"event": "circuit_breaker.changed", "state": "open"}
             assert failed.items() >= (about | {"event": "action.failed", "request_id": "1"}).items()
-            assert unsaid == {"event": "balancer.suppressed", "suppressed": 3}
+            assert suppressed == {"event": "balancer.suppressed", "suppressed": 3}
             assert not it.proxy.balancer.unsaid
 
     caplog.set_level(logging.INFO)
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -1,4 +1,4 @@
-"""The process as a whole: its configuration, its end on SIGTERM, peers."""
+"""The process as a whole: its configuration, its signals, its graceful shutdown, its peers."""
 
 from __future__ import annotations
 
@@ -22,8 +22,7 @@
 from load_balancer.config.file import load_config
 from load_balancer.decisions.actions import SendPeerMessage
 from load_balancer.decisions.events import AttemptEnded, PeerMessageReceived
-from load_balancer.gateway import client_server as downstream
-from load_balancer.gateway import upstream_pool as upstream
+from load_balancer.gateway import client_server, upstream_pool
 from load_balancer.gateway.client_server import ClientServer
 from load_balancer.gateway.discovery_messages import DiscoveredEndpoint
 from load_balancer.simulator.codec import parse_settings
@@ -40,10 +39,11 @@
     news,
     run,
     settings,
+    until,
 )
 
 
-def start(path: Path | str, **environ: str) -> subprocess.CompletedProcess[str]:
+def run_process(path: Path | str, **environ: str) -> subprocess.CompletedProcess[str]:
     env = {k: v for k, v in os.environ.items() if not k.startswith("ROUTER_")} | environ
     return subprocess.run(
         [sys.executable, "-m", "load_balancer"],
@@ -65,9 +65,9 @@
     return configuration({}, "127.0.0.1:1", settings={**settings(), **changed})
 
 
-TWICE = [{"name": "t"}, {"name": "t"}]
+DUPLICATE_TENANTS = [{"name": "t"}, {"name": "t"}]
 ADDRESS = "expected an address of the form host:port"
-BAD: list[tuple[object, str]] = [
+INVALID_CONFIGURATIONS: list[tuple[object, str]] = [
     (without("name"), "name: is missing; expected text"),
     (without("listen"), f"listen: {ADDRESS}"),
     (without("discovery"), f"discovery: {ADDRESS}"),
@@ -89,7 +89,10 @@
     (with_settings(zones=[7]), "settings.zones[0]: expected text, got a whole number"),
     (with_settings(zones=7), "settings.zones: expected a list, got a whole number"),
     (with_settings(lanes=[{"giveUpUs": 1}]), "settings.lanes[0].name: is missing; expected text"),
-    (with_settings(tenants=TWICE), "settings.tenants[1].name: expected a name of its own, got 't' as at [0]"),
+    (
+        with_settings(tenants=DUPLICATE_TENANTS),
+        "settings.tenants[1].name: expected a name of its own, got 't' as at [0]",
+    ),
     (with_settings(balancers=1, index=1), "settings.index: expected a number below balancers, 1, got 1"),
     (with_settings(zone=2), "settings.zone: expected the place of one of 2 zones, from 0, got 2"),
     ([], "expected an object, got a list"),
@@ -97,11 +100,11 @@
 ]
 
 
-@pytest.mark.parametrize(("raw", "named"), BAD)
-def test_a_bad_configuration_is_one_line_and_a_failure(raw: object, named: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize(("raw", "named"), INVALID_CONFIGURATIONS)
+def test_an_invalid_configuration_is_one_line_and_a_failure(raw: object, named: str, tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(raw) if raw != "" else "{")
-    done = start(path)
+    done = run_process(path)
     assert done.returncode != 0
     assert not done.stdout
     (line,) = done.stderr.splitlines()
@@ -109,8 +112,8 @@
     assert named in line
 
 
-def test_a_large_configuration_is_held_once_while_it_is_read(tmp_path: Path) -> None:
-    """The settings were written out and read once more, which took the most memory of the start."""
+def test_a_large_configuration_is_in_memory_once_while_it_is_read(tmp_path: Path) -> None:
+    """A second copy of the settings would take the most memory of the start."""
     tenants = [{"name": f"t{n}", "note": "x" * 2_000} for n in range(1_000)]
     raw = with_settings(tenants=tenants)
     path = tmp_path / "config.json"
@@ -125,15 +128,15 @@
 
 
 def test_a_missing_configuration_is_one_line_and_a_failure(tmp_path: Path) -> None:
-    for done in (start(""), start(tmp_path / "none.json")):
+    for done in (run_process(""), run_process(tmp_path / "none.json")):
         assert done.returncode != 0
         assert len(done.stderr.splitlines()) == 1
 
 
-def test_no_collection_looks_at_what_was_known_at_the_start(
+def test_no_collection_visits_the_endpoints_cached_at_the_start(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Each full one did, in the path of requests."""
+    """Else every full collection would, while requests wait."""
 
     async def test() -> None:
         path, listens = tmp_path / "config.json", asyncio.Event()
@@ -145,14 +148,14 @@
         monkeypatch.setattr(ClientServer, "start", start)
         serving = asyncio.create_task(serve(load_config({"ROUTER_CONFIG": str(path)})))
         await listens.wait()
-        looked_at = [
+        visited = [
             known
             for known in gc.get_objects()
-            if isinstance(known, DiscoveredEndpoint | upstream.EndpointPool)
+            if isinstance(known, DiscoveredEndpoint | upstream_pool.EndpointPool)
         ]
         gc.unfreeze()
         serving.cancel()
-        assert not looked_at
+        assert not visited
 
     run(test())
 
@@ -161,11 +164,38 @@
     with socket.create_server(("127.0.0.1", 0)) as taken:
         path = tmp_path / "config.json"
         path.write_text(json.dumps(configuration({}, "127.0.0.1:1")))
-        done = start(path, ROUTER_LISTEN=f"127.0.0.1:{taken.getsockname()[1]}")
+        done = run_process(path, ROUTER_LISTEN=f"127.0.0.1:{taken.getsockname()[1]}")
     assert done.returncode == 1
     assert "cannot start" in done.stderr.splitlines()[-1]
 
 
+async def start_process(
+    path: Path, **environ: str
+) -> tuple[asyncio.subprocess.Process, asyncio.StreamReader]:
+    """A gateway's process, with ROUTER_CONFIG set to the path, and its standard error."""
+    child = await asyncio.create_subprocess_exec(
+        sys.executable,
+        "-m",
+        "load_balancer",
+        env={**os.environ, "ROUTER_CONFIG": str(path), **environ},
+        stderr=asyncio.subprocess.PIPE,
+    )
+    assert child.stderr is not None
+    return child, child.stderr
+
+
+async def connect(port: int) -> Client:
+    return Client(*await asyncio.open_connection("127.0.0.1", port))
+
+
+async def expect_last_answer(client: Client, status: int = 200) -> None:
+    """The answer says that the connection closes, and it does."""
+    actual, head, _ = await client.answer()
+    assert actual == status
+    assert head["connection"] == "close"
+    assert await client.closed()
+
+
 @asynccontextmanager
 async def process(
     host: StubEndpoint, tmp_path: Path, sockets: int = 1024, **environ: str
@@ -179,16 +209,9 @@
     listen, limits = f"127.0.0.1:{port}", {"sockets": sockets}
     raw = configuration({"h0": host.address}, registry.address, listen=listen, limits=limits)
     path.write_text(json.dumps(raw))
-    child = await asyncio.create_subprocess_exec(
-        sys.executable,
-        "-m",
-        "load_balancer",
-        env={**os.environ, "ROUTER_CONFIG": str(path), **environ},
-        stderr=asyncio.subprocess.PIPE,
-    )
+    child, stderr = await start_process(path, **environ)
     try:
-        assert child.stderr is not None
-        while b"listens" not in (line := await child.stderr.readline()):
+        while b"listens" not in (line := await stderr.readline()):
             assert b"discovery: no connection" in line or b"could not be read" in line
         yield child, port
     finally:
@@ -199,29 +222,26 @@
         registry.stop()
 
 
-def test_sigterm_answers_what_was_taken_and_ends_well(tmp_path: Path) -> None:
+def test_sigterm_answers_accepted_requests_and_exits_with_zero(tmp_path: Path) -> None:
     async def test() -> None:
         host = StubEndpoint()
         async with process(host, tmp_path) as (child, port):
-            held = Client(*await asyncio.open_connection("127.0.0.1", port))
+            held = await connect(port)
             assert (await held.ask(b"GET /health/ready HTTP/1.1\r\n\r\n"))[0] == 200
             held.send(ask())
             taken = await host.taken.get()
-            idle = Client(*await asyncio.open_connection("127.0.0.1", port))
+            idle = await connect(port)
             child.send_signal(signal.SIGTERM)
-            assert await idle.closed()  # and so the signal has been heeded
+            assert await idle.closed()  # and so the signal has been handled
             taken.answer()
-            status, head, _ = await held.answer()
-            assert status == 200
-            assert head["connection"] == "close"
-            assert await held.closed()
+            await expect_last_answer(held)
             assert await child.wait() == 0
 
     run(test())
 
 
-def test_sighup_reads_where_discovery_is_now(tmp_path: Path) -> None:
-    """The signal ended the process; the variable, as old as the process, must not outweigh the new file."""
+def test_sighup_applies_a_changed_address_of_discovery(tmp_path: Path) -> None:
+    """ROUTER_DISCOVERY, which is as old as the process, does not override the new file."""
 
     async def test() -> None:
         host, first, second = StubEndpoint(), Registry(), Registry()
@@ -238,7 +258,7 @@
             path.write_text(json.dumps({**json.loads(good), "discovery": second.address}))
             child.send_signal(signal.SIGHUP)
             await second.watches.get()
-            client = Client(*await asyncio.open_connection("127.0.0.1", port))
+            client = await connect(port)
             client.send(ask())
             (await host.taken.get()).answer()
             assert (await client.answer())[0] == 200
@@ -251,69 +271,56 @@
 
 @pytest.mark.parametrize(("number", "code"), [(signal.SIGHUP, None), (signal.SIGTERM, -signal.SIGTERM)])
 def test_signals_before_it_is_ready(number: signal.Signals, code: int | None, tmp_path: Path) -> None:
-    """SIGHUP ended the process until its loop ran. SIGTERM may: nothing is owed yet."""
+    """SIGHUP must not end the process before its loop runs. SIGTERM may: no request has been accepted."""
 
     async def test() -> None:
         path = tmp_path / "config"
         os.mkfifo(path)  # holds the process while it reads its configuration
-        child = await asyncio.create_subprocess_exec(
-            sys.executable,
-            "-m",
-            "load_balancer",
-            env={**os.environ, "ROUTER_CONFIG": str(path)},
-            stderr=asyncio.subprocess.PIPE,
-        )
+        child, stderr = await start_process(path)
         loop = asyncio.get_running_loop()
         with await loop.run_in_executor(None, path.open, "w") as config:
             child.send_signal(number)
             if code is None:
                 config.write(json.dumps(configuration({}, "127.0.0.1:1")))
-        assert child.stderr is not None
         if code is None:
-            while b"listens" not in await child.stderr.readline():
-                assert not child.stderr.at_eof()
+            while b"listens" not in await stderr.readline():
+                assert not stderr.at_eof()
             child.send_signal(signal.SIGTERM)
         assert await child.wait() == (code or 0)
 
     run(test())
 
 
-def test_signals_on_top_of_each_other_lose_nothing(tmp_path: Path) -> None:
+def test_repeated_signals_lose_no_request(tmp_path: Path) -> None:
     async def test() -> None:
         host = StubEndpoint()
         async with process(host, tmp_path) as (child, port):
-            held = Client(*await asyncio.open_connection("127.0.0.1", port))
+            held = await connect(port)
             held.send(ask("buy"))
             taken = await host.taken.get()
-            idle = Client(*await asyncio.open_connection("127.0.0.1", port))
+            idle = await connect(port)
             for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
                 child.send_signal(number)
             assert await idle.closed()
             child.send_signal(signal.SIGTERM)
             child.send_signal(signal.SIGHUP)
             taken.answer()
-            status, head, _ = await held.answer()
-            assert status == 200
-            assert head["connection"] == "close"
-            assert await held.closed()
+            await expect_last_answer(held)
             held.writer.close()
             assert await child.wait() == 0
 
     run(test())
 
 
-def test_a_hung_host_and_a_short_deadline_hold_up_no_end(tmp_path: Path) -> None:
+def test_a_hung_endpoint_and_a_short_deadline_do_not_delay_the_shutdown(tmp_path: Path) -> None:
     async def test() -> None:
         host = StubEndpoint()
         async with process(host, tmp_path) as (child, port):
-            hung = Client(*await asyncio.open_connection("127.0.0.1", port))
+            hung = await connect(port)
             hung.send(ask("buy", Request_Timeout_Ms="900"))
             await host.taken.get()
             child.send_signal(signal.SIGTERM)
-            status, head, _ = await hung.answer()
-            assert status == 502
-            assert head["connection"] == "close"
-            assert await hung.closed()
+            await expect_last_answer(hung, status=502)
             hung.writer.close()
             assert await child.wait() == 0
 
@@ -321,8 +328,8 @@
 
 
 def test_requests_that_come_during_a_drain_are_served(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The front goes on sending for a moment, on new connections and on those that it has."""
-    monkeypatch.setattr(downstream, "HALF_SENT_DRAIN_S", PATIENCE_S)
+    """Clients go on sending for a moment, on new connections and on those that they have."""
+    monkeypatch.setattr(client_server, "HALF_SENT_DRAIN_S", PATIENCE_S)
 
     async def test() -> None:
         async with gateway() as it:
@@ -334,16 +341,12 @@
             late.send(ask())
             taken = await it.host.taken.get()
             idle.send(ask()[:20])
-            while not any(connection.reading for connection in it.downstream.connections):
-                await asyncio.sleep(0.001)
+            await until(lambda: any(connection.reading for connection in it.downstream.connections))
             it.downstream.stop_listening()
             finish = asyncio.create_task(it.downstream.finish())
             taken.answer()
             for client in (late, idle):
-                status, head, _ = await client.answer()
-                assert status == 200
-                assert head["connection"] == "close"
-                assert await client.closed()
+                await expect_last_answer(client)
                 if client is late:
                     idle.send(ask()[20:])
                     (await it.host.taken.get()).answer()
@@ -355,9 +358,9 @@
 def test_a_request_in_the_accept_queue_as_the_listener_closes_is_served(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its connection was up and the request sent, and the close of the listener reset both."""
-    monkeypatch.setattr(downstream, "LAST_ACCEPT_S", 0.0)
-    monkeypatch.setattr(downstream, "LAST_REQUEST_S", 0.0)
+    """Closing the listener would reset a connection that it has not accepted yet."""
+    monkeypatch.setattr(client_server, "LAST_ACCEPT_S", 0.0)
+    monkeypatch.setattr(client_server, "LAST_REQUEST_S", 0.0)
 
     async def test() -> None:
         async with gateway() as it:
@@ -371,17 +374,14 @@
             end = asyncio.create_task(drain)
             client = Client(*await asyncio.open_connection(sock=queued))
             (await it.host.taken.get()).answer()
-            status, head, _ = await client.answer()
-            assert status == 200
-            assert head["connection"] == "close"
-            assert await client.closed()
+            await expect_last_answer(client)
             client.writer.close()
             await end
 
     run(test())
 
 
-def test_requests_read_ahead_are_answered_before_a_drain_closes() -> None:
+def test_pipelined_requests_are_answered_before_a_drain_closes() -> None:
     async def test() -> None:
         async with gateway() as it:
             client = await it.client()
@@ -391,16 +391,13 @@
             taken.answer()
             assert (await client.answer())[0] == 200
             (await it.host.taken.get()).answer()
-            status, head, _ = await client.answer()
-            assert status == 200
-            assert head["connection"] == "close"
-            assert await client.closed()
+            await expect_last_answer(client)
 
     run(test())
 
 
-def test_a_client_that_reads_nothing_does_not_hold_up_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(downstream, "UNREAD_DRAIN_S", 0.0)
+def test_a_client_that_reads_nothing_does_not_delay_the_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(client_server, "UNREAD_DRAIN_S", 0.0)
 
     async def test() -> None:
         async with gateway() as it:
@@ -419,28 +416,30 @@
     run(test())
 
 
-def test_idle_clients_leave_descriptors_for_discovery_hosts_and_readiness(tmp_path: Path) -> None:
+def test_idle_clients_leave_descriptors_for_discovery_endpoints_and_readiness(tmp_path: Path) -> None:
     async def test() -> None:
         host, other, discovery = StubEndpoint(), StubEndpoint(), Registry()
         await other.start()
         where, sockets = discovery.bind(), 256
         async with process(host, tmp_path, sockets, ROUTER_DISCOVERY=where) as (child, port):
 
-            async def connect() -> Client:
-                client = Client(*await asyncio.open_connection("127.0.0.1", port))
+            async def connect_within_limit() -> Client:
+                client = await connect(port)
                 assert len(os.listdir(f"/proc/{child.pid}/fd")) < sockets
                 return client
 
             async def is_ready() -> bool:
-                return (await (await connect()).ask(b"GET /health/ready HTTP/1.1\r\n\r\n"))[0] == 200
+                return (await (await connect_within_limit()).ask(b"GET /health/ready HTTP/1.1\r\n\r\n"))[
+                    0
+                ] == 200
 
-            held = [await connect() for _ in range(3)]
+            held = [await connect_within_limit() for _ in range(3)]
             for client in held:
                 client.send(ask("buy"))
             taken = [await host.taken.get() for _ in held]
             idle = []
             for number in range(sockets + 50):
-                idle.append(await connect())
+                idle.append(await connect_within_limit())
                 assert number % 10 or await is_ready()
             await discovery.start()
             _, watch = await discovery.watches.get()
@@ -461,11 +460,11 @@
     run(test())
 
 
-def test_an_idle_connection_does_not_hold_up_the_end(tmp_path: Path) -> None:
+def test_an_idle_connection_does_not_delay_the_shutdown(tmp_path: Path) -> None:
     async def test() -> None:
         async with process(StubEndpoint(), tmp_path) as (child, port):
-            idle = Client(*await asyncio.open_connection("127.0.0.1", port))
-            half = Client(*await asyncio.open_connection("127.0.0.1", port))
+            idle = await connect(port)
+            half = await connect(port)
             half.send(ask()[:20])
             child.send_signal(signal.SIGTERM)
             assert await idle.closed()
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -23,7 +23,7 @@
 from load_balancer.config.file import CONFIG_LIMIT, Config, ConfigError, load_config, read_steps
 from load_balancer.config.reader import LINE_LIMIT, STEP, run_to_completion
 from tests.sockets import entry
-from tests.gateway.test_process import BAD
+from tests.gateway.test_process import INVALID_CONFIGURATIONS
 
 EXAMPLE = Path(__file__).parent.parent / "deploy" / "example.json"
 VALID = json.loads(EXAMPLE.read_text())
@@ -156,7 +156,7 @@
     (b"[" * 1_000_000, "nested too deep; expected an object"),
     (b"[" * 5_000 + b"]" * 5_000, "nested too deep; expected an object"),
     (b"{" * (CONFIG_LIMIT + 1), f"is too large: expected at most {CONFIG_LIMIT} bytes"),
-    *((json.dumps(raw).encode(), named) for raw, named in BAD if raw != ""),
+    *((json.dumps(raw).encode(), named) for raw, named in INVALID_CONFIGURATIONS if raw != ""),
 ]
 
 
