--- a/lab/changes.py
+++ b/lab/changes.py
@@ -28,7 +28,7 @@
     SettingsChanged,
 )
 from load_balancer.decisions.settings_version import next_version
-from load_balancer.gateway.discovery import parse_list
+from load_balancer.gateway.discovery_messages import parse_list
 from load_balancer.gateway.request_parsing import lookup_steps
 
 MARK = "the tenants stand here"
@@ -188,7 +188,7 @@
     )
     document.write(file)
     config = run_to_completion(read_steps(environ))
-    listed = parse_list(config.known, config.names).event().endpoints
+    listed = parse_list(config.known, config.names).to_balancer_event().endpoints
     config.known.clear()
     gc.collect()
     base = process.memory_info().rss
--- a/load_balancer/cli.py
+++ b/load_balancer/cli.py
@@ -13,7 +13,7 @@
 from load_balancer.config.comparison import compare_configs
 from load_balancer.config.effective_config import read_effective_config
 from load_balancer.config.errors import ConfigError
-from load_balancer.gateway.reload import FIXED
+from load_balancer.gateway.reload import restart_only_changes
 
 DEFAULT_MAX_ERRORS = 10  # of `check`
 DEFAULT_MAX_LINES = 20  # of `diff`, for each of the long lists
@@ -101,5 +101,6 @@
     except ConfigError as error:
         exit_with(error)
     max_lines = sys.maxsize if all_lines else DEFAULT_MAX_LINES
-    for line in compare_configs(old_config, new_config, max_lines, FIXED):
+    restart_only = [each.path for each in restart_only_changes(old_config.config, new_config.config)]
+    for line in compare_configs(old_config, new_config, max_lines, restart_only):
         click.echo(line)
--- a/load_balancer/config/comparison.py
+++ b/load_balancer/config/comparison.py
@@ -2,14 +2,13 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable, Iterator, Mapping, Sequence
+from collections.abc import Iterable, Iterator, Mapping, Sequence
 from dataclasses import dataclass
 from typing import Any
 
 import msgspec
 
 from load_balancer.config.effective_config import EffectiveConfig, JsonObject
-from load_balancer.config.gateway_config import Config
 from load_balancer.config.models import CLASSES_KEY, TENANTS_KEY
 from load_balancer.config.steps import run_to_completion
 from load_balancer.decisions.settings_version import SettingsVersion, initial_version, next_version
@@ -17,8 +16,6 @@
 APPLIED_AT_ONCE = ("discovery", "peers", "peers_all")
 APPLIED_AT_START = ("seed",)
 
-FixedFields = Mapping[str, Callable[[Config], object]]
-
 
 @dataclass(frozen=True, slots=True)
 class ItemChanges:
@@ -57,7 +54,7 @@
 
 
 def compare_configs(
-    old: EffectiveConfig, new: EffectiveConfig, max_lines: int, fixed_fields: FixedFields
+    old: EffectiveConfig, new: EffectiveConfig, max_lines: int, restart_only: Sequence[str]
 ) -> Iterator[str]:
     """Yield a line for each thing that replacing `old` by `new` would do.
 
@@ -65,7 +62,7 @@
         old: What a gateway runs with.
         new: What it would be given.
         max_lines: Lines for each of the long lists, besides its summary.
-        fixed_fields: What a running process cannot change: how to get the value, by path.
+        restart_only: Paths of the settings that differ and that only a new process can change.
     """
     old_version = initial_version(old.config.settings)
     new_version = run_to_completion(next_version(old_version, new.config.settings))
@@ -80,10 +77,9 @@
     for title, keys in (("in force at once", APPLIED_AT_ONCE), ("only at the next start", APPLIED_AT_START)):
         changes = _changed_fields(_select(old.document, keys), _select(new.document, keys))
         yield from _section(title, changes)
-    fixed = [path for path, value in fixed_fields.items() if value(old.config) != value(new.config)]
-    if fixed:
+    if restart_only:
         reason = "refused by a gateway that runs with OLD, as only a new process can change it"
-        yield f"{reason}: {', '.join(fixed)}"
+        yield f"{reason}: {', '.join(restart_only)}"
 
 
 def _compare_items(
--- a/load_balancer/gateway/log_fields.py
+++ b/load_balancer/gateway/log_fields.py
@@ -37,14 +37,17 @@
         """Return the fields with names of class and tenant for their numbers, and an endpoint's address."""
         resolved = dict(fields)
         version, names = self._settings_version(), self.names
-        tables = (("klass", version.class_ids, names.classes), ("tenant", version.tenant_ids, names.tenants))
+        tables = (
+            ("request_class", version.class_ids, names.classes),
+            ("tenant", version.tenant_ids, names.tenants),
+        )
         for name, known, texts in tables:
             number = resolved.get(name)
             if isinstance(number, int) and texts and number in known:
                 resolved[name] = texts[known.index(number)]
             elif not texts:  # a deployment without tenants
                 resolved.pop(name, None)
-        endpoint_id = resolved.get("server")
+        endpoint_id = resolved.get("endpoint_id")
         if isinstance(endpoint_id, int) and (address := self._authority(endpoint_id)):
             resolved["address"] = address.decode()
         return resolved
@@ -57,7 +60,7 @@
         """Return the fields of what an event or an action is about, as far as they are known."""
         request_id = getattr(subject, "request_id", None)
         request = pending.get(request_id) if request_id is not None else None
-        fields = {"request": request_id, "server": getattr(subject, "endpoint_id", None)}
+        fields = {"request_id": request_id, "endpoint_id": getattr(subject, "endpoint_id", None)}
         fields |= _request_fields(request_id, request) if request is not None else {}
         return self.resolve((name, value) for name, value in fields.items() if value is not None)
 
@@ -65,9 +68,9 @@
 def _request_fields(request_id: object, request: PendingRequest) -> dict[str, object]:
     names, client_request = request.names, request.client_request
     fields: dict[str, object] = {
-        "request": request_id,
-        "klass": names.classes[client_request.request_class],
-        "generation": request.settings_version.number,
+        "request_id": request_id,
+        "request_class": names.classes[client_request.request_class],
+        "settings_version": request.settings_version.number,
     }
     if names.tenants:
         fields["tenant"] = names.tenants[client_request.tenant]
--- a/load_balancer/gateway/proxy.py
+++ b/load_balancer/gateway/proxy.py
@@ -38,7 +38,8 @@
 from load_balancer.gateway.attempt_sender import AttemptSender
 from load_balancer.gateway.client_request import ClientRequest
 from load_balancer.gateway.clock import Clock
-from load_balancer.gateway.discovery import DiscoveryClient, WatchEvent
+from load_balancer.gateway.discovery import DiscoveryClient
+from load_balancer.gateway.discovery_messages import WatchEvent
 from load_balancer.gateway.event_dispatcher import EventDispatcher
 from load_balancer.gateway.event_log import log_event
 from load_balancer.gateway.health_checks import HealthChecker
@@ -149,12 +150,12 @@
 
     def _decision_failed(self, event: Event, error: Exception) -> None:
         fields = self._log_fields.of_subject(event, self.ledger.pending)
-        log_event("balancer.failed", what=repr(event), error=error, **fields)
+        log_event("balancer.failed", subject=repr(event), error=error, **fields)
         self.ledger.answer_internal_error(getattr(event, "request_id", None))
 
     def _action_failed(self, action: Action, error: Exception) -> None:
         fields = self._log_fields.of_subject(action, self.ledger.pending)
-        log_event("action.failed", what=repr(action), error=error, **fields)
+        log_event("action.failed", subject=repr(action), error=error, **fields)
         self.ledger.answer_internal_error(getattr(action, "request_id", None))
 
     def execute(self, action: Action) -> None:
@@ -178,9 +179,9 @@
         """Execute an action that concerns no single request."""
         match action:
             case SubscribeEndpoints():
-                self.discovery.watch(action.active)
+                self.discovery.set_subscribed(action.active)
             case PollEndpoints():
-                self.discovery.fetch()
+                self.discovery.poll()
             case StartHealthCheck():
                 self._health_checks.check(action.endpoint_id, self.settings)
             case CloseIdleConnections():
@@ -193,7 +194,7 @@
     def _send(self, action: Send) -> None:
         request = self.ledger.get(action.request_id)
         if request is None:
-            log_event("attempt.unowned", **self._log_fields.of_subject(action, self.ledger.pending))
+            log_event("attempt.orphaned", **self._log_fields.of_subject(action, self.ledger.pending))
         else:
             self._attempts.send(request, action)
 
@@ -212,7 +213,7 @@
         """Log how many lines the balancer has left out since the last time."""
         unsaid, self.balancer.unsaid = self.balancer.unsaid, 0
         if unsaid:
-            log_event("balancer.unsaid", unsaid=unsaid)
+            log_event("balancer.suppressed", suppressed=unsaid)
 
     # What the network brings
 
@@ -231,13 +232,13 @@
         self.dispatch(request.arrival())
         return request
 
-    def on_watch_event(self, news: WatchEvent) -> None:
+    def on_watch_event(self, event: WatchEvent) -> None:
         """Apply what discovery says of the endpoints."""
-        if news.kind in (ListKind.COMPLETE, ListKind.CACHED):
-            self.upstream.drain_unlisted(entry.server.id for entry in news.entries)
-        for entry in news.entries:
-            self.upstream.update_endpoint(entry.server.id, entry.address, entry.server.status)
-        self.dispatch(news.event())
+        if event.kind in (ListKind.COMPLETE, ListKind.CACHED):
+            self.upstream.drain_unlisted(listed.endpoint.id for listed in event.endpoints)
+        for listed in event.endpoints:
+            self.upstream.update_endpoint(listed.endpoint.id, listed.address, listed.endpoint.status)
+        self.dispatch(event.to_balancer_event())
 
     def _on_peer_message(self, data: bytes, sender: Address) -> None:
         if sender in self.config.peers:
--- a/load_balancer/gateway/request_ledger.py
+++ b/load_balancer/gateway/request_ledger.py
@@ -187,7 +187,7 @@
     def answer_at_last_resort(self, request: PendingRequest) -> None:
         """Answer a request that nothing else has answered when its client is about to give up."""
         if not request.is_closed:
-            log_event("request.unanswered", **self._log_fields(request))
+            log_event("request.deadline_exceeded", **self._log_fields(request))
             self._answer_and_drop(request, text_response(504, "out of time"))
 
     def forget_if_over(self, request: PendingRequest) -> None:
--- a/tests/config/examples.py
+++ b/tests/config/examples.py
@@ -10,8 +10,8 @@
 
 from load_balancer.config.file import CONFIG_LIMIT, Config, load_config, read_steps
 from load_balancer.config.steps import run_to_completion
+from tests.gateway.test_process import INVALID_CONFIGURATIONS
 from tests.sockets import entry
-from tests.test_process import BAD
 
 EXAMPLE = Path(__file__).parent.parent.parent / "deploy" / "example.json"
 VALID = json.loads(EXAMPLE.read_text())
@@ -28,7 +28,7 @@
     (b"[" * 1_000_000, "nested too deep; expected an object"),
     (b"[" * 5_000 + b"]" * 5_000, "nested too deep; expected an object"),
     (b"{" * (CONFIG_LIMIT + 1), f"is too large: expected at most {CONFIG_LIMIT} bytes"),
-    *((json.dumps(raw).encode(), named) for raw, named in BAD if raw != ""),
+    *((json.dumps(raw).encode(), named) for raw, named in INVALID_CONFIGURATIONS if raw != ""),
 ]
 """Contents of files that cannot be used, and what the error says of each."""
 
--- a/tests/gateway/test_attempts.py
+++ b/tests/gateway/test_attempts.py
@@ -9,7 +9,7 @@
 
 from load_balancer.decisions.actions import Action, Send
 from load_balancer.decisions.events import AttemptEnded, Event, Outcome, RequestArrived
-from load_balancer.gateway.discovery import endpoint_id_of
+from load_balancer.gateway.discovery_messages import endpoint_id_of
 from load_balancer.gateway.http_message import BODY_LIMIT, HEAD_LIMIT
 from tests.gateway.scripted_balancer import replace_decisions
 from tests.sockets import ask, gateway, hold_connects, runs_in_event_loop, settings
--- a/tests/gateway/test_endpoint_ids.py
+++ b/tests/gateway/test_endpoint_ids.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from load_balancer.gateway.discovery import endpoint_id_of
+from load_balancer.gateway.discovery_messages import endpoint_id_of
 
 
 def test_an_endpoint_has_the_same_id_at_every_gateway() -> None:
--- a/tests/gateway/test_endpoint_list_latency.py
+++ b/tests/gateway/test_endpoint_list_latency.py
@@ -9,7 +9,9 @@
 import pytest
 
 from load_balancer.config.file import parse_config
-from load_balancer.gateway.discovery import QUEUED_S, TOLD_S, Call, WatchEvent
+from load_balancer.gateway.discovery import CHANGE_DEADLINE_S, QUEUED_CALL_S
+from load_balancer.gateway.discovery_call import DiscoveryCall
+from load_balancer.gateway.discovery_messages import WatchEvent
 from load_balancer.gateway.proxy import Proxy
 from tests.sockets import chunk, configuration, entry, news, settings
 
@@ -51,7 +53,7 @@
             raise ConnectionRefusedError
         if early and self.before == "swallows":
             await self.create_future()
-        call: Call = protocol()
+        call: DiscoveryCall = protocol()
         call.connection_made(Silent())
         if early and self.before == "opens":
             call.data_received(OLD)
@@ -68,7 +70,8 @@
         self.call_later(late_s, call.data_received, answer)
 
     def note(self, event: WatchEvent) -> None:
-        if any(entry.server.status.value == "draining" for entry in event.entries) and not self.known.done():
+        statuses = [entry.endpoint.status.value for entry in event.endpoints]
+        if "draining" in statuses and not self.known.done():
             self.known.set_result(self.time())
 
 
@@ -92,7 +95,7 @@
             loop.note(event)
             proxy.on_watch_event(event)
 
-        proxy.discovery.news = pass_on
+        proxy.discovery.on_watch_event = pass_on
         proxy.discovery.start(proxy.config.known)
         return loop.run_until_complete(loop.known) - reach_s
     finally:
@@ -102,7 +105,7 @@
         loop.close()
 
 
-PROMPT, QUEUED, REJECTED = (PROMPT_S, CHANGED), (QUEUED_S, CHANGED), (QUEUED_S, REFUSED)
+PROMPT, QUEUED, REJECTED = (PROMPT_S, CHANGED), (QUEUED_CALL_S, CHANGED), (QUEUED_CALL_S, REFUSED)
 STATES: dict[str, tuple[str, Answers]] = {
     "it was down, and has too many callers": ("refuses", [REJECTED, QUEUED]),
     "it was cut off, and has too many callers": ("swallows", [REJECTED, PROMPT]),
@@ -124,17 +127,17 @@
         for tenth in range(20, 160)
         for seed in range(3)
     )
-    assert worst_s <= TOLD_S
+    assert worst_s <= CHANGE_DEADLINE_S
 
 
 @pytest.mark.parametrize("must_ask_s", [1, 10, 60, 600])
 def test_the_first_call_may_queue_twice_whatever_the_polling_interval(must_ask_s: int) -> None:
     """Its time does not grow with the interval, and differs between gateways."""
     late = [
-        seconds_until_known(0.0, "", [REJECTED, QUEUED], seed, must_ask_s * 1_000_000) - 2 * QUEUED_S
+        seconds_until_known(0.0, "", [REJECTED, QUEUED], seed, must_ask_s * 1_000_000) - 2 * QUEUED_CALL_S
         for seed in range(40)
     ]
-    assert max(late) <= TOLD_S - 2 * QUEUED_S
+    assert max(late) <= CHANGE_DEADLINE_S - 2 * QUEUED_CALL_S
     assert max(late) - min(late) > 0.8 * min(1.0, 0.1 * must_ask_s)  # they ask at random all the same
     assert min(late) >= 0
     assert len({round(late_s, 6) for late_s in late}) == 40
--- /dev/null
+++ b/tests/gateway/test_event_log.py
@@ -0,0 +1,251 @@
+"""The log: its forms, the counting of repeats, and the page that lists the events."""
+
+import ast
+import json
+import logging
+import re
+import socket
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from load_balancer.decisions.actions import Action, LogEvent, Send
+from load_balancer.decisions.events import Event, RequestArrived
+from load_balancer.gateway import event_log
+from load_balancer.gateway.event_log import make_formatter
+from load_balancer.gateway.log_events import (
+    COMMON_FIELDS,
+    EVENTS,
+    FIELDS,
+    MAX_COUNTED_KEYS,
+    RENAMED_EVENTS,
+    RENAMED_FIELDS,
+    RegisteredEvent,
+)
+from load_balancer.gateway.log_events_page import render_page
+from load_balancer.gateway.repeat_counter import Fields, RepeatCounter
+from tests.gateway.test_process import run_process
+from tests.sockets import ask, configuration, gateway, run, settings
+
+ROOT = Path(__file__).parents[2]
+
+
+def test_the_page_lists_the_events_of_the_code() -> None:
+    """`python -m load_balancer.gateway.event_log > docs/events.md` mends it."""
+    assert (ROOT / "docs" / "events.md").read_text() == render_page()
+    assert FIELDS.keys() == {name for event in EVENTS.values() for name in event.fields} | set(COMMON_FIELDS)
+    assert all(set(event.key) <= set(event.fields) for event in EVENTS.values())
+
+
+def test_renamed_names_lead_to_registered_ones_and_are_free() -> None:
+    assert set(RENAMED_EVENTS.values()) <= EVENTS.keys()
+    assert set(RENAMED_FIELDS.values()) <= FIELDS.keys()
+    assert not RENAMED_EVENTS.keys() & EVENTS.keys()
+    assert not RENAMED_FIELDS.keys() & FIELDS.keys()
+
+
+def test_every_call_logs_a_registered_event_with_its_fields() -> None:
+    logged = {"log.overflow"}  # by repeat_counter.py
+    for path in sorted((ROOT / "load_balancer").rglob("*.py")):
+        for node in (node for node in ast.walk(ast.parse(path.read_text())) if isinstance(node, ast.Call)):
+            called, where = ast.unparse(node.func), f"{path.name}:{node.lineno}"
+            bypass = re.fullmatch(r"(log|logging|print)(\.\w+)?", called)
+            assert not bypass or path.name in ("cli.py", "event_log.py", "adapter.py"), where
+            fields = {field.arg for field in node.keywords}
+            if called == "self.log" or (
+                called == "log_event" and not isinstance(node.args[0], ast.Attribute)
+            ):
+                name = node.args[0]
+            else:
+                continue
+            assert isinstance(name, ast.Constant), where
+            event = EVENTS[name.value]
+            assert fields - {None, "level"} <= set(event.fields), where
+            assert None in fields or event.sentence_fields <= fields, where
+            logged.add(event.name)
+    assert logged == EVENTS.keys()
+
+
+class Loop:
+    """A loop whose time is set by hand; it has one timer at most."""
+
+    now, due, call = 0.0, 0.0, None
+
+    def __init__(self) -> None:
+        self.written: list[tuple[float, str, Fields]] = []
+        self.counter = RepeatCounter(self.write, lambda: self)  # type: ignore[arg-type, return-value]
+
+    def write(self, event: RegisteredEvent, fields: Fields) -> None:
+        self.written.append((self.now, event.name, fields))
+
+    def time(self) -> float:
+        return self.now
+
+    def call_later(self, delay_s: float, call: Any) -> Any:
+        assert self.call is None
+        self.due, self.call = self.now + delay_s, call
+        return self
+
+    def cancel(self) -> None:
+        self.call = None
+
+    def run_until(self, until: float) -> None:
+        while self.call is not None and self.due <= until:
+            self.now, call, self.call = max(self.now, self.due), self.call, None
+            call()
+        self.now = until
+
+
+def test_repeats_are_written_once_a_second_with_their_count() -> None:
+    loop, event = Loop(), EVENTS["request.failed"]
+    counter, written = loop.counter, loop.written
+    for n in range(150):  # for a second and a half
+        loop.run_until(n / 100)
+        counter.add(event, {"error": "a", "request_id": str(n)})
+    counter.add(event, {"error": "b"})
+    loop.run_until(9.0)
+    assert written == [
+        (0.0, "request.failed", {"error": "a", "request_id": "0"}),
+        (1.0, "request.failed", {"error": "a", "request_id": "99", "repeated": 99}),
+        (1.49, "request.failed", {"error": "b"}),
+        (2.0, "request.failed", {"error": "a", "request_id": "149", "repeated": 50}),
+    ]
+    assert loop.call is None
+    assert not counter.windows
+    counter.add(event, {"error": "a"})
+    assert written[-1] == (9.0, "request.failed", {"error": "a"})
+
+
+@pytest.mark.parametrize("end", ["timer", "flush", "another loop", "late timer"])
+def test_every_event_is_written_or_counted(end: str) -> None:
+    """Beyond the keys that are kept, by event alone: the memory does not grow with the events."""
+    loop, event, came = Loop(), EVENTS["library.message"], 30 * MAX_COUNTED_KEYS
+    counter, written = loop.counter, loop.written
+    for n in range(came):
+        counter.add(event, {"message": str(n // 3), "logger": "x"})
+    assert len(written) == len(counter.windows) == MAX_COUNTED_KEYS
+    if end == "flush":
+        counter.flush()
+    elif end == "another loop":
+        counter.get_loop = Loop  # type: ignore[assignment]
+    else:
+        loop.now = 1.0 if end == "timer" else 1.5
+    if end in ("another loop", "late timer"):
+        came += 1
+        counter.add(event, {"message": "0", "logger": "x"})
+    if end != "another loop":
+        loop.run_until(9.0)
+    assert loop.call is None
+    (others,) = (fields for _, name, fields in written if name == "log.overflow")
+    assert others["event_counts"] == f"library.message:{others['repeated']}"
+    assert sum(int(str(fields.get("repeated", 1))) for *_, fields in written) == came
+
+
+@pytest.mark.parametrize("form", ["text", "json"])
+def test_events_in_either_form(
+    form: str, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async def say() -> None:
+        event_log.log_event(
+            "circuit_breaker.changed", endpoint_id=5, request_class="buy card", state="open", cooldown_s=2.0
+        )
+        event_log.log_event("config.invalid", error=ValueError("no name"))
+        record = {"name": "asyncio", "levelno": logging.ERROR, "msg": "two\nlines %s", "args": ("more",)}
+        event_log.LibraryHandler().handle(logging.makeLogRecord(record))
+        for _ in range(2):
+            try:
+                raise RuntimeError("a fault")
+            except RuntimeError as error:
+                event_log.log_event("request.failed", error=error, request_id="7")
+
+    event_log.flush()
+    caplog.set_level(logging.INFO)
+    monkeypatch.setattr(caplog.handler, "formatter", make_formatter({"ROUTER_LOG": form}))
+    run(say())
+    event_log.flush()
+    fault = r"""ERROR failed on a request error="?RuntimeError\('a fault'\)"? request_id=7"""
+    expected = rf"""@INFO endpoint 5: circuit breaker open request_class="buy card" cooldown_s=2.0
+load_balancer: no name
+@ERROR two\nlines more logger=asyncio
+@{fault}\nTraceback (?s:.*)\nRuntimeError: a fault
+@{fault} repeated=1\n""".replace("@", r"\d{4}-\d\d-\d\d \d\d:\d\d:\d\d,\d{3} ")
+    if form == "text":
+        assert re.fullmatch(expected, caplog.text)
+        return
+    logged = [json.loads(line) for line in caplog.text.splitlines()]
+    assert all(re.fullmatch(r"\d{4}-\d\d-\d\dT[\d:]{8}\.\d{3}\+00:00", event.pop("time")) for event in logged)
+    breaker, _, library, raised, again = logged
+    changed = {
+        "level": "info",
+        "event": "circuit_breaker.changed",
+        "endpoint_id": 5,
+        "request_class": "buy card",
+        "state": "open",
+    }
+    assert breaker == changed | {"cooldown_s": 2.0}
+    assert library == {
+        "level": "error",
+        "event": "library.message",
+        "logger": "asyncio",
+        "message": "two\nlines more",
+    }
+    assert raised["exception"].endswith("RuntimeError: a fault")
+    assert again.keys() == {"level", "event", "error", "request_id", "repeated"}
+
+
+def test_a_process_asked_for_json_writes_every_event_as_json(tmp_path: Path) -> None:
+    """Repeats that are counted when a start fails, its loop closed, are written too."""
+    path = tmp_path / "config.json"
+    with socket.create_server(("127.0.0.1", 0)) as taken:
+        listen = f"127.0.0.1:{taken.getsockname()[1]}"
+        raw = configuration({}, "127.0.0.1:1", listen=listen, known={"endpoints": [7, 8, 9]})
+        path.write_text(json.dumps(raw))
+        logged = [json.loads(line) for line in run_process(path, ROUTER_LOG="json").stderr.splitlines()]
+    assert (
+        sum(event.get("repeated", 1) for event in logged if event["event"] == "discovery.entry_skipped") == 3
+    )
+    assert [event["event"] for event in logged].count("gateway.start_failed") == 1
+    (line,) = run_process("", ROUTER_LOG="json").stderr.splitlines()
+    assert json.loads(line)["event"] == "config.invalid"
+
+
+def test_an_event_of_a_request_names_it(caplog: pytest.LogCaptureFixture) -> None:
+    """With its class and tenant by name, and the endpoint by address; suppressed lines are counted."""
+
+    async def test() -> None:
+        async with gateway(settings={**settings(), "tenants": [{"name": "acme"}, {"name": "zeta"}]}) as it:
+            (server,) = it.proxy.upstream.endpoints
+            send: Any = Send
+            it.proxy.balancer.unsaid = 3
+            handle = it.proxy.balancer.handle
+
+            def broken(now_us: int, event: Event) -> list[Action]:
+                if isinstance(event, RequestArrived):
+                    fields = (("endpoint_id", server), ("request_class", 0), ("tenant", 1))
+                    return [
+                        LogEvent("circuit_breaker.changed", (*fields, ("state", "open"))),
+                        send("1", server, "no number"),
+                    ]
+                return handle(now_us, event)
+
+            it.proxy.balancer.handle = broken  # type: ignore[method-assign]
+            assert (await (await it.client()).ask(ask(Tenant="zeta")))[0] == 500
+            it.proxy.sweep()
+            logged: list[Any] = [record.msg for record in caplog.records if record.name == "load_balancer"]
+            breaker, failed, suppressed = (
+                event for event in logged if not event["event"].startswith("discovery")
+            )
+            about = {
+                "request_class": it.proxy.config.names.classes[0],
+                "tenant": "zeta",
+                "endpoint_id": server,
+            }
+            about["address"] = it.host.address
+            assert breaker == about | {"event": "circuit_breaker.changed", "state": "open"}
+            assert failed.items() >= (about | {"event": "action.failed", "request_id": "1"}).items()
+            assert suppressed == {"event": "balancer.suppressed", "suppressed": 3}
+            assert not it.proxy.balancer.unsaid
+
+    caplog.set_level(logging.INFO)
+    run(test())
--- a/tests/gateway/test_health_checks.py
+++ b/tests/gateway/test_health_checks.py
@@ -6,7 +6,7 @@
 
 from load_balancer.decisions.actions import StartHealthCheck
 from load_balancer.decisions.events import AttemptEnded, HealthCheckEnded, Outcome
-from load_balancer.gateway.discovery import endpoint_id_of
+from load_balancer.gateway.discovery_messages import endpoint_id_of
 from tests.sockets import ask, gateway, runs_in_event_loop, settings
 
 
--- a/tests/gateway/test_upstream_pool.py
+++ b/tests/gateway/test_upstream_pool.py
@@ -10,7 +10,7 @@
 from load_balancer.decisions.endpoint import ListKind
 from load_balancer.decisions.events import AttemptEnded, EndpointListReceived, Outcome, RequestArrived
 from load_balancer.gateway import upstream_pool
-from load_balancer.gateway.discovery import endpoint_id_of
+from load_balancer.gateway.discovery_messages import endpoint_id_of
 from load_balancer.gateway.http_message import Response
 from tests.sockets import (
     Gateway,
