--- a/load_balancer/gateway/client_connection.py
+++ b/load_balancer/gateway/client_connection.py
@@ -216,11 +216,7 @@
     # Closing
 
     def close_when_idle(self, turns: int = 2) -> None:
-        """Close after some turns of the loop, unless a request comes in them.
-
-        A request may wait in the socket: had the connection been closed over it, its client would have to
-        send it anew.
-        """
+        """Close after some turns of the loop, in which a request that waits in the socket is read first."""
         self.is_closing_when_idle = turns > 0
         if turns > 0:
             self._owner.loop.call_soon(self.close_when_idle, turns - 1)
--- a/load_balancer/gateway/client_request.py
+++ b/load_balancer/gateway/client_request.py
@@ -38,7 +38,7 @@
         """Return the bytes for an endpoint.
 
         Args:
-            timeout_us: What the endpoint is told of the time left, rounded up to milliseconds.
+            timeout_us: The time left, sent in the request's header in milliseconds, rounded up.
         """
         has_length = self.body or self.method != b"GET"
         return b"%b %b HTTP/1.1\r\n%bRequest-Timeout-Ms: %d\r\n%b\r\n%b" % (
--- a/load_balancer/gateway/incoming_request.py
+++ b/load_balancer/gateway/incoming_request.py
@@ -41,7 +41,7 @@
 
 
 class RequestListener(Protocol):
-    """What a reader tells of."""
+    """Receives what a reader has read."""
 
     def head_received(self, request: IncomingRequest) -> None:
         """The head of a request is whole."""
--- a/load_balancer/gateway/log_fields.py
+++ b/load_balancer/gateway/log_fields.py
@@ -1,4 +1,4 @@
-"""What is logged of events, actions and requests: names in place of the balancer's numbers."""
+"""Fields of log events, with names in place of the balancer's numbers."""
 
 from __future__ import annotations
 
--- a/load_balancer/gateway/proxy.py
+++ b/load_balancer/gateway/proxy.py
@@ -231,13 +231,13 @@
         self.dispatch(request.arrival())
         return request
 
-    def on_watch_event(self, news: WatchEvent) -> None:
-        """Apply what discovery says of the endpoints."""
-        if news.kind in (ListKind.COMPLETE, ListKind.CACHED):
-            self.upstream.drain_unlisted(entry.server.id for entry in news.entries)
-        for entry in news.entries:
+    def on_watch_event(self, event: WatchEvent) -> None:
+        """Apply a message of discovery to the endpoints."""
+        if event.kind in (ListKind.COMPLETE, ListKind.CACHED):
+            self.upstream.drain_unlisted(entry.server.id for entry in event.entries)
+        for entry in event.entries:
             self.upstream.update_endpoint(entry.server.id, entry.address, entry.server.status)
-        self.dispatch(news.event())
+        self.dispatch(event.event())
 
     def _on_peer_message(self, data: bytes, sender: Address) -> None:
         if sender in self.config.peers:
--- a/load_balancer/gateway/request_ledger.py
+++ b/load_balancer/gateway/request_ledger.py
@@ -1,4 +1,4 @@
-"""The requests that have been accepted: one final answer for each, after which it is forgotten."""
+"""The requests that have been accepted, and the one final answer that each of them is owed."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
         return self.send_answer is None
 
     def arrival(self) -> RequestArrived:
-        """Return the event that tells the balancer of it."""
+        """Return the event that notifies the balancer of it."""
         client_request = self.client_request
         return RequestArrived(
             self.id,
@@ -158,7 +158,7 @@
         return not request.is_closed
 
     def client_disconnected(self, request: PendingRequest) -> None:
-        """Close the account of a request whose client has gone."""
+        """Drop the answer of a request whose client has gone, and notify the balancer."""
         if not request.is_closed:
             self._close_account(request)
             self._dispatch(ClientDisconnected(request.id))
--- a/load_balancer/gateway/upstream_pool.py
+++ b/load_balancer/gateway/upstream_pool.py
@@ -1,4 +1,4 @@
-"""Connections to the endpoints that discovery has named, each kept alive for later requests."""
+"""Keep-alive connections to the endpoints that discovery has named."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class ConnectionTiming:
-    """How long connections may take to open and how long they are kept.
+    """Timeouts of connections.
 
     Attributes:
         now: The loop's clock, in seconds.
@@ -112,7 +112,7 @@
 
     Attributes:
         limit: How many connections may be open at once.
-        timing: How long connections are waited for and kept.
+        timing: Timeouts of connections.
         endpoints: The pool of each endpoint by its id.
         connections: All that are open or coming up.
     """
@@ -213,7 +213,8 @@
         """Close connections past their idle timeout and forget endpoints that drain or are gone."""
         oldest = self.timing.now() - self.timing.idle_timeout_s
         for endpoint_id, endpoint in list(self.endpoints.items()):
-            endpoint.close_idle(idle_since_before=oldest)
+            if endpoint.idle:
+                endpoint.close_idle(idle_since_before=oldest)
             if endpoint.draining:
                 del self.endpoints[endpoint_id]
 
