--- a/load_balancer/gateway/proxy.py
+++ b/load_balancer/gateway/proxy.py
@@ -233,7 +233,7 @@
         return request
 
     def on_watch_event(self, event: WatchEvent) -> None:
-        """Apply what discovery says of the endpoints."""
+        """Apply a message of discovery to the endpoints."""
         if event.kind in (ListKind.COMPLETE, ListKind.CACHED):
             self.upstream.drain_unlisted(listed.endpoint.id for listed in event.endpoints)
         for listed in event.endpoints:
