--- a/load_balancer/config/effective_config.py
+++ b/load_balancer/config/effective_config.py
@@ -10,8 +10,9 @@
 from msgspec import UNSET, structs
 
 from load_balancer.config.addresses import format_address
+from load_balancer.config.config_reader import read_config
 from load_balancer.config.errors import ConfigError, SettingsFormatError, ValidationErrors
-from load_balancer.config.file import read_config, read_file
+from load_balancer.config.file import read_file
 from load_balancer.config.file_models import FileModel
 from load_balancer.config.gateway_config import Config
 from load_balancer.config.models import (
--- a/load_balancer/config/file.py
+++ b/load_balancer/config/file.py
@@ -2,30 +2,22 @@
 
 from __future__ import annotations
 
-import hashlib
 import os
 from collections.abc import Mapping
-from dataclasses import dataclass
-from operator import is_
 from typing import Any
 
 import msgspec
-from msgspec import Raw
 
 from load_balancer.config.addresses import Address, parse_address
+from load_balancer.config.config_reader import read_config
 from load_balancer.config.errors import (
     ConfigError,
     SettingsFormatError,
     ValidationErrors,
     printable_line,
 )
-from load_balancer.config.file_models import EndpointListModel, FileModel
 from load_balancer.config.gateway_config import Config, NameTable
-from load_balancer.config.json_document import decode_document, decode_value
-from load_balancer.config.models import SettingsModel
-from load_balancer.config.settings_reader import read_settings
-from load_balancer.config.steps import ITEMS_PER_STEP, Steps, run_to_completion
-from load_balancer.decisions.settings import Settings
+from load_balancer.config.steps import Steps, run_to_completion
 
 __all__ = [
     "Address",
@@ -35,7 +27,6 @@
     "load_config",
     "parse_address",
     "parse_config",
-    "read_config",
     "read_file",
     "read_steps",
 ]
@@ -43,8 +34,6 @@
 CONFIG_LIMIT = 16 * 1024 * 1024  # bytes; about five times a file of 3,400 classes and 23,000 tenants
 READ_BYTES_PER_STEP = 4 * 1024 * 1024
 MIN_READ_BYTES = 64 * 1024
-HASH_BYTES_PER_STEP = 1024 * 1024
-DIGEST_BYTES = 16
 
 
 def load_config(environ: Mapping[str, str]) -> Config:
@@ -123,172 +112,3 @@
             f"{shown_path} is too large: expected at most {CONFIG_LIMIT} bytes, got {size} or more"
         )
     return shown_path, b"".join(parts)  # a single part is not copied
-
-
-def read_config(
-    data: bytes, environ: Mapping[str, str], previous: Config | None, errors: ValidationErrors
-) -> Steps[Config]:
-    """Read the configuration from the file's bytes; see `read_steps`.
-
-    Raises:
-        SettingsFormatError: The configuration cannot be used.
-    """
-    model: FileModel | None = yield from decode_document(data, FileModel, errors)
-    yield
-    if model is None:
-        yield from _add_settings_errors(data, errors)
-        raise SettingsFormatError(errors.messages)
-    del data  # the model holds what it needs of it
-    identity = _read_identity(model, environ, previous, errors)
-    seed = _read_seed(model.seed, errors)
-    peers = _read_peers(model, errors)
-    yield
-    known = yield from _read_endpoint_list(model.known, previous is not None, errors)
-    content = yield from _digest(model.settings)
-    if previous is not None and content == previous.content:
-        settings, names = previous.settings, previous.names
-    else:
-        settings, names = yield from _read_named_settings(model.settings, previous, errors)
-    errors.raise_if_any()
-    assert identity.listen is not None
-    assert identity.discovery is not None
-    return Config(
-        name=identity.name,
-        listen=identity.listen,
-        discovery=identity.discovery,
-        seed=seed,
-        sockets=model.limits.sockets,
-        settings=settings,
-        names=names,
-        known=known,
-        peer_listen=peers.listen,
-        peers=peers.addresses,
-        peers_all=peers.all_peers,
-        content=content,
-    )
-
-
-def _add_settings_errors(data: bytes, errors: ValidationErrors) -> Steps[None]:
-    """Add what is wrong with the settings in a file that does not fit its own model."""
-    parts: dict[str, Raw] = decode_value(data, dict[str, Raw], "", errors) or {}
-    if "settings" in parts:
-        yield from read_settings(parts["settings"], "settings", None, errors, names_required=True)
-
-
-@dataclass(frozen=True, slots=True)
-class _Identity:
-    """Who and where the gateway is; an address is None after an error."""
-
-    name: str
-    listen: Address | None
-    discovery: Address | None
-
-
-def _read_identity(
-    model: FileModel, environ: Mapping[str, str], previous: Config | None, errors: ValidationErrors
-) -> _Identity:
-    name = environ.get("ROUTER_NAME", model.name)
-    listen = environ.get("ROUTER_LISTEN", model.listen)
-    discovery = model.discovery
-    if previous is None:
-        discovery = environ.get("ROUTER_DISCOVERY", discovery)
-    if not name:
-        errors.add("name", "is missing; expected text")
-    elif not isinstance(name, str):
-        errors.add("name", f"expected text, got {name!r}")
-    return _Identity(
-        str(name),
-        _read_address(listen, "listen", errors),
-        _read_address(discovery, "discovery", errors),
-    )
-
-
-@dataclass(frozen=True, slots=True)
-class _Peers:
-    """Where the other gateways are, and where they reach this one."""
-
-    addresses: tuple[Address, ...]
-    listen: Address | None
-    all_peers: Address | None
-
-
-def _read_peers(model: FileModel, errors: ValidationErrors) -> _Peers:
-    addresses = [_read_address(peer, f"peers[{index}]", errors) for index, peer in enumerate(model.peers)]
-    listen = _read_address(model.peer_listen, "peer_listen", errors) if model.peer_listen else None
-    all_peers = _read_address(model.peers_all, "peers_all", errors) if model.peers_all else None
-    return _Peers(tuple(each for each in addresses if each is not None), listen, all_peers)
-
-
-def _read_address(text: object, path: str, errors: ValidationErrors) -> Address | None:
-    try:
-        return parse_address(text)
-    except ConfigError as error:
-        errors.add(path, str(error))
-        return None
-
-
-def _read_seed(seed: str | int | float, errors: ValidationErrors) -> int:
-    try:
-        return int(seed, 16) if isinstance(seed, str) else int(seed)
-    except ValueError:
-        errors.add("seed", f"expected a number, or one in hexadecimal as text, got {seed!r}")
-        return 0
-
-
-def _read_endpoint_list(raw: Raw, only_check: bool, errors: ValidationErrors) -> Steps[dict[str, Any]]:
-    """Return the cached endpoint list as plain objects; empty if it is only to be checked that it is one."""
-    model: EndpointListModel | None = decode_value(raw, EndpointListModel, "known", errors)
-    yield
-    if model is None or only_check:
-        return {}
-    parts: dict[str, Raw] = msgspec.json.decode(raw, type=dict[str, Raw])
-    endpoint_list: dict[str, Any] = {
-        key: msgspec.json.decode(part) for key, part in parts.items() if key != "endpoints"
-    }
-    endpoints: list[Any] = []
-    for start in range(0, len(model.endpoints), ITEMS_PER_STEP):
-        for index, entry in enumerate(model.endpoints[start : start + ITEMS_PER_STEP], start):
-            endpoints.append(decode_value(entry, Any, f"known.endpoints[{index}]", errors))
-        yield
-    endpoint_list["endpoints"] = endpoints
-    return endpoint_list
-
-
-def _digest(raw: Raw) -> Steps[str]:
-    """Return the hex digest of a piece of JSON."""
-    view = memoryview(raw)
-    blake = hashlib.blake2b(digest_size=DIGEST_BYTES)
-    for start in range(0, len(view), HASH_BYTES_PER_STEP):
-        blake.update(view[start : start + HASH_BYTES_PER_STEP])
-        yield
-    return blake.hexdigest()
-
-
-def _read_named_settings(
-    raw: Raw, previous: Config | None, errors: ValidationErrors
-) -> Steps[tuple[Settings, NameTable]]:
-    previous_settings = previous.settings if previous else None
-    settings, model = yield from read_settings(
-        raw, "settings", previous_settings, errors, names_required=True
-    )
-    names = yield from _read_names(settings, model, previous.names if previous else None)
-    return settings, names
-
-
-def _read_names(settings: Settings, model: SettingsModel, previous: NameTable | None) -> Steps[NameTable]:
-    old = previous or NameTable((), (), (), ())
-    classes = _reuse_if_equal(tuple(each.name for each in settings.classes), old.classes)
-    yield
-    tenants = _reuse_if_equal(tuple(each.name for each in settings.tenants), old.tenants)
-    yield
-    zones = _reuse_if_equal(tuple(model.zones), old.zones)
-    kinds = _reuse_if_equal(tuple(model.endpoint_kinds), old.kinds)
-    return NameTable(classes, tenants, zones, kinds)
-
-
-def _reuse_if_equal(names: tuple[str, ...], previous: tuple[str, ...]) -> tuple[str, ...]:
-    """Return `previous` if it holds the same names, else `names`."""
-    if len(names) != len(previous):
-        return names
-    same_objects = all(map(is_, names, previous))  # cheaper than comparing, and true of most reloads
-    return previous if same_objects or names == previous else names
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -1,4 +1,4 @@
-"""Rules on the shape of the package: what decides is pure, and the deploy file names all of it."""
+"""Rules on the shape of the package: decisions are pure, imports go one way, the deploy file names it all."""
 
 import ast
 import sys
@@ -39,3 +39,27 @@
     others = {name.partition(".")[0] for name in names - own}
     assert others <= sys.stdlib_module_names
     assert not others & INPUT_AND_OUTPUT
+
+
+MODULES = sorted(PACKAGE.rglob("*.py"))
+SHARED = {"errors", "load_report_format"}  # modules that every part may import
+PARTS_BELOW = {
+    "decisions": {"errors"},
+    "config": SHARED | {"decisions"},
+    "gateway": SHARED | {"decisions", "config"},
+    "simulator": SHARED | {"decisions", "config"},
+}
+
+
+@pytest.mark.parametrize("part", PARTS_BELOW)
+def test_a_part_imports_itself_and_the_parts_below_it_alone(part: str) -> None:
+    paths = sorted((PACKAGE / part).glob("*.py"))
+    assert paths
+    for path in paths:
+        own = {name for name in imported_modules(path) if name.startswith("load_balancer.")}
+        assert {name.split(".")[1] for name in own} <= PARTS_BELOW[part] | {part}
+
+
+@pytest.mark.parametrize("path", MODULES, ids=lambda path: str(path.relative_to(PACKAGE)))
+def test_the_package_does_not_import_the_lab_or_the_tests(path: Path) -> None:
+    assert not {name.partition(".")[0] for name in imported_modules(path)} & {"lab", "tests"}
