--- /dev/null
+++ b/lab/model/attempts.py
@@ -0,0 +1,264 @@
+"""Attempts on their way: over connections to an endpoint and back, with what the network does to them."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from functools import partial
+from typing import Protocol
+
+from lab.model.clients import Clients
+from lab.model.endpoint import Job, LoadReport, ModelEndpoint
+from lab.model.engine import Clock, to_us
+from lab.model.fleet import EndpointFleet
+from lab.model.gateway import ModelGateway
+from lab.model.network import Network
+from lab.model.registry import Registry
+from lab.model.requests import Attempt, GatewayRequest, RequestEnd
+from lab.model.rules import Rule, Rules
+from lab.model.run_record import RunRecord
+from lab.model.scenario import Scenario
+from lab.model.workload import ATTEMPTS, Workload
+from load_balancer.decisions.actions import Cancel, Send
+from load_balancer.decisions.endpoint import EndpointStatus
+from load_balancer.decisions.events import AttemptEnded, Outcome
+from load_balancer.decisions.settings import DeduplicationScope
+
+REUSABLE = frozenset({Outcome.OK, Outcome.ERROR, Outcome.REJECTED})  # the connection can be used again
+ATTEMPTS_PER_TRY = 4  # that draw losses of their own
+HANDSHAKE_WAYS = 3  # one-way delays until a request over a new connection has arrived
+
+
+class EndAttempt(Protocol):
+    """Ends an attempt with an outcome."""
+
+    def __call__(self, outcome: Outcome, load: LoadReport = ()) -> None:
+        """End it now."""
+
+
+class Attempts:
+    """Carries out what gateways send, and checks it against the rules."""
+
+    def __init__(
+        self,
+        clock: Clock,
+        scenario: Scenario,
+        workload: Workload,
+        network: Network,
+        fleet: EndpointFleet,
+        registry: Registry,
+        clients: Clients,
+        rules: Rules,
+        record: RunRecord,
+    ) -> None:
+        self._clock, self._terms, self._workload = clock, scenario.fleet, workload
+        self._connect_timeout_us = to_us(scenario.network.connect_timeout_ms / 1e3)
+        self._network, self._fleet, self._registry = network, fleet, registry
+        self._clients, self._rules, self._record = clients, rules, record
+
+    def send(self, gateway: ModelGateway, action: Send) -> None:
+        """Begin an attempt."""
+        request, now_us = gateway.requests.get(action.request_id), self._clock.now_us
+        if request is None or action.endpoint_id not in gateway.known_ids:
+            what = f"{action.request_id} or {action.endpoint_id} is not known there"
+            self._rules.report(Rule.FAULT, gateway.index, what)
+            return
+        endpoint = self._fleet.by_id(action.endpoint_id)
+        self._check_rules(gateway, request, endpoint)
+        number = len(request.attempts)
+        attempt = Attempt(endpoint.index, now_us)
+        request.attempts.append(attempt)
+        end = partial(self._end, gateway, gateway.epoch, request, number)
+        left_us = request.deadline_us - now_us
+        if request.finished or left_us <= 0 or number >= gateway.settings.max_attempts:
+            self._clock.call_at(now_us, end, Outcome.NOT_SENT)
+            return
+        self._record.costs["attempts"] += 1
+        self._record.costs["repeats"] += number > 0
+        self._record.costs["crossings"] += endpoint.zone != gateway.zone
+        timeout_us = min(left_us, action.timeout_us or left_us)
+        self._clock.call_at(now_us + max(0, timeout_us), end, Outcome.TIMEOUT)
+        self._transmit(gateway, request, attempt, end)
+
+    def cancel(self, gateway: ModelGateway, action: Cancel) -> None:
+        """Cancel an attempt; its outcome is an event of its own."""
+        request = gateway.requests.get(action.request_id)
+        if request is None or not 0 <= action.attempt < len(request.attempts):
+            what = f"{action.request_id} cancelled, but never sent"
+            self._rules.report(Rule.FAULT, gateway.index, what)
+            return
+        end = partial(self._end, gateway, gateway.epoch, request, action.attempt)
+        self._clock.call_at(self._clock.now_us, end, Outcome.CANCELLED)
+
+    def reset_all(self, gateway: ModelGateway, request: GatewayRequest) -> None:
+        """End the attempts of a request whose gateway has died."""
+        for attempt in request.attempts:
+            if attempt.outcome is None:
+                self._release(gateway, attempt, Outcome.RESET)
+
+    def _check_rules(self, gateway: ModelGateway, request: GatewayRequest, endpoint: ModelEndpoint) -> None:
+        scope = request.request_class.scope
+        attempted = [self._fleet.endpoints[attempt.endpoint_index] for attempt in request.attempts]
+        groups = [deduplication_group(scope, earlier) for earlier in attempted]
+        self._rules.check_send(request, deduplication_group(scope, endpoint), groups)
+        endpoint_id = self._fleet.ids[endpoint.index]
+        notified_us = gateway.stop_notified_us.get(endpoint_id)
+        if notified_us is None:
+            assumed = self._registry.assumed_notice(gateway, endpoint_id)
+            if assumed is not None and assumed.entry.status is not EndpointStatus.READY:
+                notified_us = assumed.notified_us
+        self._rules.check_target(gateway.index, endpoint.index, notified_us)
+
+    def _knows_start(self, gateway: ModelGateway, endpoint: ModelEndpoint) -> bool:
+        """Whether the gateway has been notified, or counts as notified, of an endpoint's last start."""
+        endpoint_id = self._fleet.ids[endpoint.index]
+        entry = gateway.list.get(endpoint_id)
+        if entry is not None and entry.started_us == endpoint.started_us:
+            return True
+        assumed = self._registry.assumed_notice(gateway, endpoint_id)
+        return assumed is not None and assumed.entry.started_us == endpoint.started_us
+
+    def _transmit(
+        self, gateway: ModelGateway, request: GatewayRequest, attempt: Attempt, end: EndAttempt
+    ) -> None:
+        """Over an idle connection, or a new one."""
+        endpoint, now_us = self._fleet.endpoints[attempt.endpoint_index], self._clock.now_us
+        idle = gateway.idle.take(endpoint.index)
+        if idle is None:
+            connected = self._connect(gateway, endpoint, attempt, end)
+        else:
+            connected = self._reuse(gateway, endpoint, attempt, idle.epoch, end)
+        if not connected:
+            return
+        delay_us = self._network.delay_us(gateway.zone, endpoint)
+        if self._is_lost(request, attempt, leg=0):
+            self._clock.call_at(now_us + delay_us, end, Outcome.RESET)
+            return
+        row = request.client_request
+        attempt.job = Job(
+            self._workload.work_us[row],
+            self._terms.handshake_ms * 1e3 if idle is None else 0.0,
+            self._workload.blocked_us[row],
+            self._workload.fails[row],
+            self._knows_start(gateway, endpoint),
+            gateway.index,
+            partial(self._return_answer, gateway, endpoint, request, attempt, end),
+            partial(self._return_reset, gateway, endpoint, end),
+        )
+        ways = HANDSHAKE_WAYS if idle is None else 1
+        self._clock.call_at(now_us + ways * delay_us, self._arrive, gateway, endpoint, attempt, end)
+
+    def _reuse(
+        self, gateway: ModelGateway, endpoint: ModelEndpoint, attempt: Attempt, epoch: int, end: EndAttempt
+    ) -> bool:
+        """Take an idle connection; False where its process has gone in silence and another resets it."""
+        attempt.connection_epoch = epoch
+        reached = self._network.reaches_endpoint(gateway.zone, endpoint)
+        if epoch == endpoint.epoch or not endpoint.up or not reached:
+            return True
+        attempt.connection_epoch = None
+        delay_us = self._network.delay_us(gateway.zone, endpoint)
+        self._clock.call_at(self._clock.now_us + 2 * delay_us, end, Outcome.RESET)
+        return False
+
+    def _connect(
+        self, gateway: ModelGateway, endpoint: ModelEndpoint, attempt: Attempt, end: EndAttempt
+    ) -> bool:
+        """Open a connection; False where that fails."""
+        self._record.costs["handshakes"] += 1
+        if not self._network.reaches_endpoint(gateway.zone, endpoint):
+            failed_after_us = self._connect_timeout_us
+        elif not endpoint.up or endpoint.connections >= self._terms.connections:
+            failed_after_us = 2 * self._network.delay_us(gateway.zone, endpoint)
+        else:
+            endpoint.connections += 1
+            attempt.connection_epoch = endpoint.epoch
+            return True
+        self._clock.call_at(self._clock.now_us + failed_after_us, end, Outcome.CONNECT_FAILED)
+        return False
+
+    def _is_lost(self, request: GatewayRequest, attempt: Attempt, leg: int) -> bool:
+        """Whether a request (leg 0) or its answer (leg 1) is lost."""
+        drawn = request.try_number * ATTEMPTS_PER_TRY + request.attempts.index(attempt)
+        column = drawn % ATTEMPTS * 2 + leg
+        return bool(self._workload.loss[request.client_request, column] < self._network.loss)
+
+    def _arrive(
+        self, gateway: ModelGateway, endpoint: ModelEndpoint, attempt: Attempt, end: EndAttempt
+    ) -> None:
+        reached = self._network.reaches_endpoint(gateway.zone, endpoint)
+        if attempt.outcome is not None or not reached or attempt.job is None:
+            return
+        if attempt.connection_epoch != endpoint.epoch:
+            self._return_reset(gateway, endpoint, end)
+            return
+        endpoint.take(attempt.job)
+
+    def _return_reset(self, gateway: ModelGateway, endpoint: ModelEndpoint, end: EndAttempt) -> None:
+        """The process at the other end has gone."""
+        if self._network.reaches_endpoint(gateway.zone, endpoint):
+            delay_us = self._network.delay_us(gateway.zone, endpoint)
+            self._clock.call_at(self._clock.now_us + delay_us, end, Outcome.RESET)
+
+    def _return_answer(
+        self,
+        gateway: ModelGateway,
+        endpoint: ModelEndpoint,
+        request: GatewayRequest,
+        attempt: Attempt,
+        end: Callable[[Outcome, LoadReport], None],
+        outcome: Outcome,
+        load: LoadReport,
+    ) -> None:
+        if not self._network.reaches_endpoint(gateway.zone, endpoint):
+            return
+        if self._is_lost(request, attempt, leg=1):
+            outcome, load = Outcome.RESET, ()
+        delay_us = self._network.delay_us(gateway.zone, endpoint)
+        self._clock.call_at(self._clock.now_us + delay_us, end, outcome, load)
+
+    def _end(
+        self,
+        gateway: ModelGateway,
+        epoch: int,
+        request: GatewayRequest,
+        number: int,
+        outcome: Outcome,
+        load: LoadReport = (),
+    ) -> None:
+        """End an attempt; its first outcome counts."""
+        attempt = request.attempts[number]
+        if attempt.outcome is not None or gateway.epoch != epoch:
+            return
+        self._release(gateway, attempt, outcome)
+        if outcome is Outcome.OK and not request.finished:
+            self._record.useful_us += attempt.job.work_us if attempt.job is not None else 0.0
+            self._clients.finish(request, RequestEnd.SERVED)
+        took_us = self._clock.now_us - attempt.sent_us
+        endpoint_id = self._fleet.ids[attempt.endpoint_index]
+        gateway.deliver(
+            AttemptEnded(request.id, number, endpoint_id, outcome, took_us, request.finished, load)
+        )
+
+    def _release(self, gateway: ModelGateway, attempt: Attempt, outcome: Outcome) -> None:
+        """The connection is idle, or closed; an endpoint that still works on it drops that one way later."""
+        endpoint = self._fleet.endpoints[attempt.endpoint_index]
+        attempt.outcome = outcome
+        if attempt.connection_epoch is not None and attempt.connection_epoch == endpoint.epoch:
+            if outcome in REUSABLE:
+                gateway.idle.add(endpoint, self._clock.now_us)
+            else:
+                endpoint.connections -= 1
+        reached = self._network.reaches_endpoint(gateway.zone, endpoint)
+        if outcome not in REUSABLE and attempt.job is not None and reached:
+            delay_us = self._network.delay_us(gateway.zone, endpoint)
+            self._clock.call_at(self._clock.now_us + delay_us, endpoint.drop, attempt.job)
+
+
+def deduplication_group(scope: DeduplicationScope, endpoint: ModelEndpoint) -> int:
+    """The group of endpoints that drops the repeats of a keyed request."""
+    match scope:
+        case DeduplicationScope.ZONE:
+            return endpoint.zone
+        case DeduplicationScope.GROUP:
+            return endpoint.rack
+    return 0
--- a/lab/model/commands.py
+++ b/lab/model/commands.py
@@ -12,8 +12,9 @@
 from rich.console import Console
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 
-from lab.model import experiment, scenario
+from lab.model import experiment, scenario_files
 from lab.model.policies import POLICIES
+from lab.model.scenario import Scenario
 from lab.tables import table
 
 
@@ -45,7 +46,7 @@
     """
     before = signal.signal(signal.SIGTERM, signal.default_int_handler)  # so that the workers are ended too
     try:
-        day = scenario.load(scenario.find(scenario_name))
+        day = scenario_files.load(scenario_files.find(scenario_name))
         plan = experiment.Plan(
             day,
             tuple(dict.fromkeys(names or check_policies(day, scenario_name))),
@@ -69,7 +70,7 @@
         with bar:
             bar.add_task(day.name, total=len(list(plan.tasks())))
             results = experiment.run(plan, out, jobs, done)
-    except (scenario.ScenarioError, experiment.UsageError) as error:
+    except (scenario_files.ScenarioError, experiment.UsageError) as error:
         raise click.UsageError(str(error)) from None
     except OSError as error:
         raise click.UsageError(f"{out} cannot be written: {error.strerror}") from None
@@ -98,12 +99,14 @@
     return 1 if any("crash" in result for result in results) else 0
 
 
-def check_policies(day: scenario.Scenario, name: str) -> tuple[str, ...]:
+def check_policies(day: Scenario, name: str) -> tuple[str, ...]:
     """Those that a file names; ScenarioError for one that is not there."""
     for place, policy in enumerate(day.policies):
         if policy not in POLICIES:
             known = ", ".join(POLICIES)
-            raise scenario.ScenarioError(f"{Path(name).name}: policies[{place}]: expected one of {known}")
+            raise scenario_files.ScenarioError(
+                f"{Path(name).name}: policies[{place}]: expected one of {known}"
+            )
     return day.policies
 
 
--- /dev/null
+++ b/lab/model/fleet.py
@@ -0,0 +1,50 @@
+"""The endpoints of a scenario: how many of each machine type, how fast, and where they stand."""
+
+from __future__ import annotations
+
+import numpy as np
+
+from lab.model.endpoint import ModelEndpoint
+from lab.model.engine import Clock
+from lab.model.scenario import Scenario
+from lab.schedule import stream
+from load_balancer.decisions.endpoint import Endpoint
+
+
+class EndpointFleet:
+    """All endpoints by index, with the ids under which discovery lists them."""
+
+    def __init__(self, clock: Clock, scenario: Scenario, seed: int) -> None:
+        rng = stream(seed, "servers")
+        self.zones = len(scenario.zones)
+        machines, count = scenario.fleet.machines, scenario.fleet.servers
+        bounds = np.cumsum([m.share for m in machines])
+        kinds = np.searchsorted(bounds, (np.arange(count) + 0.5) / count * bounds[-1]).tolist()
+        kinds = rng.permutation(kinds).tolist()
+        self.ids: list[int] = rng.choice(2**32, count, replace=False).tolist()
+        self.index_of = {endpoint_id: index for index, endpoint_id in enumerate(self.ids)}
+        mean_work_us = scenario.traffic.mean_work_us
+        self.endpoints = [
+            ModelEndpoint(
+                clock,
+                scenario.fleet,
+                index,
+                kind,
+                rng.uniform(*machines[kind].speed),
+                mean_work_us,
+                zone=index % self.zones,
+                rack=index % self.zones + self.zones * (index // self.zones // scenario.fleet.rack),
+            )
+            for index, kind in enumerate(kinds)
+        ]
+
+    def by_id(self, endpoint_id: int) -> ModelEndpoint:
+        """The endpoint that discovery lists under an id."""
+        return self.endpoints[self.index_of[endpoint_id]]
+
+    def entries(self) -> list[Endpoint]:
+        """The endpoint list of a fleet that is all up."""
+        return [
+            Endpoint(endpoint_id, zone=endpoint.zone, group=endpoint.rack, kind=endpoint.kind)
+            for endpoint_id, endpoint in zip(self.ids, self.endpoints, strict=True)
+        ]
--- a/lab/model/network.py
+++ b/lab/model/network.py
@@ -1,12 +1,15 @@
-"""The network between zones: time one way, cuts, loss."""
+"""The network between zones: one-way delay, partitions, packet loss."""
 
 from __future__ import annotations
 
+from lab.model.endpoint import ModelEndpoint
 from lab.model.scenario import Scenario
 from lab.schedule import stream
 
 
 class Network:
+    """Delays drawn once for each pair of zones, and the faults of the moment."""
+
     def __init__(self, scenario: Scenario, seed: int) -> None:
         rng, terms = stream(seed, "network"), scenario.network
         zones, region_of = len(scenario.zones), scenario.region_of
@@ -17,10 +20,18 @@
                 span = terms.zones_ms if region_of[a] == region_of[b] else terms.regions_ms
                 span = terms.within_ms if a == b else span
                 self.one_way_us[a][b] = self.one_way_us[b][a] = max(1, round(rng.uniform(*span) * 1e3))
-        self.cuts: list[frozenset[int]] = []  # sets of regions that hear nothing of the others
+        self.partitions: list[frozenset[int]] = []  # sets of regions cut off from all others
         self.loss = terms.loss
 
-    def reaches(self, a: int, b: int) -> bool:
-        """Whether what is sent in zone a comes to zone b."""
-        one, other = self.region_of[a], self.region_of[b]
-        return all((one in cut) == (other in cut) for cut in self.cuts)
+    def reaches(self, source: int, target: int) -> bool:
+        """Whether packets pass between two zones."""
+        one, other = self.region_of[source], self.region_of[target]
+        return all((one in cut) == (other in cut) for cut in self.partitions)
+
+    def reaches_endpoint(self, zone: int, endpoint: ModelEndpoint) -> bool:
+        """Whether packets pass between a zone and an endpoint's machine, whatever state its process is in."""
+        return not endpoint.silent and self.reaches(zone, endpoint.zone)
+
+    def delay_us(self, zone: int, endpoint: ModelEndpoint) -> int:
+        """One way between a zone and an endpoint."""
+        return self.one_way_us[zone][endpoint.zone]
--- a/lab/model/registry.py
+++ b/lab/model/registry.py
@@ -1,132 +1,160 @@
-"""Discovery: it knows of changes late, serves calls in turn, and can be down."""
+"""Discovery: it learns of changes late, serves calls in turn, and can be down."""
 
 from __future__ import annotations
 
+from collections.abc import Sequence
 from dataclasses import replace
-from typing import TYPE_CHECKING
+from typing import NamedTuple
 
-from lab.model.scenario import us
+from lab.model.endpoint import ModelEndpoint
+from lab.model.engine import Clock, to_us
+from lab.model.gateway import ModelGateway
+from lab.model.network import Network
+from lab.model.scenario import DiscoveryTerms
 from lab.schedule import stream
 from load_balancer.decisions.endpoint import Endpoint, EndpointStatus, ListKind
 from load_balancer.decisions.events import EndpointListReceived
 
-if TYPE_CHECKING:
-    from lab.model.world import Gateway, World
-
 FAILED_US = 500_000  # a call to discovery while it is down fails after this
-PLACE = 0  # the zone that it stands in
+ZONE = 0  # that it stands in
 LINE_SHARE = 0.001  # of a call's cost, for each line of its answer
+FAILED_CALL_FACTOR = 4  # of the time after which a gateway counts as notified, after a failed call
 
 
-class Registry:
-    def __init__(self, world: World, seed: int, entries: list[Endpoint]) -> None:
-        self.world, self.clock, self.terms = world, world.clock, world.scenario.discovery
-        self.delays = [stream(seed, f"discovery {n}") for n in range(len(entries))]
-        self.known_us = [0] * len(entries)  # changes of one server come in order
-        self.entries = {entry.id: entry for entry in entries}
-        self.changes: list[tuple[int, Endpoint]] = []  # when it knew, and what
-        self.up = True
-        self.busy_until_us = 0
-        self.lines = self.calls = 0
+class Change(NamedTuple):
+    """A change that discovery has learned of."""
 
-    def change(self, number: int, entry: Endpoint) -> None:
-        """Something has happened to a server; discovery knows seconds later."""
-        due_us = self.clock.now_us + us(self.delays[number].uniform(*self.terms.delay_s))
-        self.known_us[number] = max(due_us, self.known_us[number] + 1)
-        self.clock.at(self.known_us[number], self.learn, entry)
+    at_us: int
+    entry: Endpoint
 
-    def learn(self, entry: Endpoint) -> None:
-        self.entries[entry.id] = entry
-        self.changes.append((self.clock.now_us, entry))
-        for gateway in self.world.gateways:
-            if gateway.up and gateway.watching:
-                self.tell(gateway)
 
-    def deemed(self, gateway: Gateway, server: int) -> tuple[int, Endpoint] | None:
-        """When a gateway that neither watches nor asks counts as told of a server's state, and of which.
+class AssumedNotice(NamedTuple):
+    """What a gateway counts as notified of, though it has not asked."""
 
-        It counts as told of what was listed the stated time ago, four times as long after a failed call. What
-        it has really heard goes before.
+    notified_us: int
+    entry: Endpoint
+
+
+class Registry:
+    """The endpoint list, its changes, and the calls of the gateways."""
+
+    def __init__(
+        self,
+        clock: Clock,
+        terms: DiscoveryTerms,
+        network: Network,
+        gateways: Sequence[ModelGateway],
+        entries: Sequence[Endpoint],
+        seed: int,
+    ) -> None:
+        self.lines = self.calls = 0
+        self._clock, self._terms, self._network, self._gateways = clock, terms, network, gateways
+        self._delays = [stream(seed, f"discovery {n}") for n in range(len(entries))]
+        self._known_us = [0] * len(entries)  # changes of one endpoint come in order
+        self._entries = {entry.id: entry for entry in entries}
+        self._changes: list[Change] = []
+        self._up = True
+        self._busy_until_us = 0
+
+    def report_status(self, endpoint: ModelEndpoint, endpoint_id: int, status: EndpointStatus) -> None:
+        """An endpoint's status has changed; discovery learns of it seconds later."""
+        index = endpoint.index
+        entry = replace(self._entries[endpoint_id], status=status, started_us=endpoint.started_us)
+        due_us = self._clock.now_us + to_us(self._delays[index].uniform(*self._terms.delay_s))
+        self._known_us[index] = max(due_us, self._known_us[index] + 1)
+        self._clock.call_at(self._known_us[index], self._learn, entry)
+
+    def _learn(self, entry: Endpoint) -> None:
+        self._entries[entry.id] = entry
+        self._changes.append(Change(self._clock.now_us, entry))
+        self.resume_watches()
+
+    def assumed_notice(self, gateway: ModelGateway, endpoint_id: int) -> AssumedNotice | None:
+        """What a gateway that neither watches nor asks counts as notified of, and since when.
+
+        That is what was listed `must_ask_s` ago, four times as long after a failed call. What it has really
+        received goes before.
         """
-        span_us = us(self.terms.must_ask_s) * (4 if gateway.call_failed else 1)
-        now_us = self.clock.now_us
-        if gateway.watching or now_us - gateway.called_us < span_us:
+        factor = FAILED_CALL_FACTOR if gateway.call_failed else 1
+        span_us = to_us(self._terms.must_ask_s) * factor
+        now_us = self._clock.now_us
+        if gateway.watching or now_us - gateway.last_call_us < span_us:
             return None
-        for at_us, entry in reversed(self.changes[gateway.index :]):
-            if entry.id == server and at_us <= now_us - span_us:
-                return max(gateway.called_us, at_us) + span_us, entry
+        for at_us, entry in reversed(self._changes[gateway.discovery_index :]):
+            if entry.id == endpoint_id and at_us <= now_us - span_us:
+                return AssumedNotice(max(gateway.last_call_us, at_us) + span_us, entry)
         return None
 
-    def hears(self, gateway: Gateway) -> bool:
-        return self.up and self.world.network.reaches(gateway.zone, PLACE)
+    def call(self, gateway: ModelGateway, watch: bool) -> None:
+        """Serve a call of a gateway, in turn; one that would wait too long fails."""
+        self.calls += 1
+        now_us, epoch = self._clock.now_us, gateway.epoch
+        gateway.last_call_us = now_us
+        wait_us = max(0, self._busy_until_us - now_us)
+        queue_us = to_us(self._terms.queue_s)
+        if not self._is_reached_by(gateway):
+            self._clock.call_at(now_us + FAILED_US, self._fail, gateway, epoch)
+        elif wait_us > queue_us:
+            self._clock.call_at(now_us + queue_us, self._fail, gateway, epoch)
+        else:
+            lines = 0 if watch else len(self._entries)
+            cost_us = round((1.0 + LINE_SHARE * lines) / self._terms.calls_per_s * 1e6)
+            self._busy_until_us = now_us + wait_us + cost_us
+            self._clock.call_at(self._busy_until_us, self._answer, gateway, epoch, watch)
+
+    def stop(self) -> None:
+        """Serve nothing until it is started again."""
+        self._up = False
+        self.break_watches()
+
+    def start(self) -> None:
+        """Serve again."""
+        self._up = True
+        self.resume_watches()
+
+    def break_watches(self) -> None:
+        """End the watches of gateways that cannot be reached any more."""
+        for gateway in self._gateways:
+            reached = self._is_reached_by(gateway)
+            if gateway.up and gateway.watching and not self._terms.pushed and not reached:
+                gateway.watching = False
+                gateway.last_call_us = self._clock.now_us
+                self._fail(gateway, gateway.epoch)
+
+    def resume_watches(self) -> None:
+        """Send every watching gateway what it has missed, also after an outage where lists are pushed."""
+        for gateway in self._gateways:
+            if gateway.up and gateway.watching:
+                self._send_changes(gateway)
+
+    def _is_reached_by(self, gateway: ModelGateway) -> bool:
+        return self._up and self._network.reaches(gateway.zone, ZONE)
 
-    def tell(self, gateway: Gateway) -> None:
-        """What a watching gateway has not been told yet, as far as discovery can be reached."""
-        if not self.hears(gateway):
+    def _send_changes(self, gateway: ModelGateway) -> None:
+        if not self._is_reached_by(gateway):
             return
-        news = {entry.id: entry for _, entry in self.changes[gateway.index :]}
-        gateway.index = len(self.changes)
+        news = {entry.id: entry for _, entry in self._changes[gateway.discovery_index :]}
+        gateway.discovery_index = len(self._changes)
         self.lines += len(news)
-        gateway.hear(EndpointListReceived(ListKind.DELTA, tuple(news.values())))
-
-    def call(self, gateway: Gateway, watch: bool) -> None:
-        """Calls wait in turn and fail when they would wait too long."""
-        self.calls += 1
-        now_us, epoch = self.clock.now_us, gateway.epoch
-        gateway.called_us = now_us
-        wait_us = max(0, self.busy_until_us - now_us)
-        if not self.hears(gateway):
-            self.clock.at(now_us + FAILED_US, self.fail, gateway, epoch)
-        elif wait_us > us(self.terms.queue_s):
-            self.clock.at(now_us + us(self.terms.queue_s), self.fail, gateway, epoch)
-        else:
-            lines = 0 if watch else len(self.entries)
-            cost_us = round((1.0 + LINE_SHARE * lines) / self.terms.calls_per_s * 1e6)
-            self.busy_until_us = now_us + wait_us + cost_us
-            self.clock.at(self.busy_until_us, self.answer, gateway, epoch, watch)
+        gateway.deliver_list(EndpointListReceived(ListKind.DELTA, tuple(news.values())))
 
-    def fail(self, gateway: Gateway, epoch: int) -> None:
+    def _fail(self, gateway: ModelGateway, epoch: int) -> None:
         if gateway.epoch == epoch and gateway.up:
             gateway.call_failed = True
-            gateway.give(EndpointListReceived(ListKind.ERROR))
+            gateway.deliver(EndpointListReceived(ListKind.ERROR))
 
-    def answer(self, gateway: Gateway, epoch: int, watch: bool) -> None:
+    def _answer(self, gateway: ModelGateway, epoch: int, watch: bool) -> None:
         if gateway.epoch != epoch or not gateway.up:
             return
-        if not self.hears(gateway):
-            self.fail(gateway, epoch)
+        if not self._is_reached_by(gateway):
+            self._fail(gateway, epoch)
             return
         gateway.call_failed = False
         if watch:
             gateway.watching = True
-            self.tell(gateway)
+            self._send_changes(gateway)
         else:
-            gateway.index = len(self.changes)
-            listed = [e for e in self.entries.values() if e.status is not EndpointStatus.GONE]
+            gateway.discovery_index = len(self._changes)
+            listed = [e for e in self._entries.values() if e.status is not EndpointStatus.GONE]
             self.lines += len(listed)
-            gateway.hear(EndpointListReceived(ListKind.COMPLETE, tuple(listed)))
-
-    def go_down(self) -> None:
-        self.up = False
-        self.break_watches()
-
-    def break_watches(self) -> None:
-        """Those that cannot be reached any more break."""
-        for gateway in self.world.gateways:
-            if gateway.up and gateway.watching and not self.terms.pushed and not self.hears(gateway):
-                gateway.watching = False
-                gateway.called_us = self.clock.now_us
-                self.fail(gateway, gateway.epoch)
-
-    def come_back(self) -> None:
-        """Also after a cut: where lists are pushed, what was missed comes now."""
-        self.up = True
-        self.resume()
-
-    def resume(self) -> None:
-        for gateway in self.world.gateways:
-            if gateway.up and gateway.watching:
-                self.tell(gateway)
-
-    def entry(self, server: int, status: EndpointStatus, started_us: int) -> Endpoint:
-        return replace(self.entries[server], status=status, started_us=started_us)
+            gateway.deliver_list(EndpointListReceived(ListKind.COMPLETE, tuple(listed)))
--- a/lab/model/rules.py
+++ b/lab/model/rules.py
@@ -1,70 +1,99 @@
-"""The four rules of WIRE, checked on every event; a broken one is named with its time and gateway."""
+"""The four rules of WIRE, checked on every event; a violation is recorded with its time and gateway."""
 
 from __future__ import annotations
 
+from enum import IntEnum
 from typing import Any
 
-from lab.model.clients import Try
 from lab.model.engine import START_US, Clock
+from lab.model.requests import GatewayRequest
 from lab.model.scenario import Effect
 from load_balancer.decisions.events import NEVER_EXECUTED
-from load_balancer.decisions.settings import DeduplicationScope, Settings
+from load_balancer.decisions.settings import DeduplicationScope
 
-ABANDONED, DOUBLED, DRAINED, FELLED = 1, 2, 3, 4
-FAULT = 0  # not one of the four: what WIRE says scores nothing
-NAMED = 20  # of those broken, the first are named; all are counted
+MAX_NAMED = 20  # of the violations, the first are recorded; all are counted
+KNOWING_SHARE = 2.0 / 3.0  # of an endpoint's work that must come from notified gateways to count as theirs
+
+
+class Rule(IntEnum):
+    """The numbers that results give to the rules."""
+
+    FAULT = 0  # none of the four: what WIRE says scores nothing
+    ONE_ANSWER = 1
+    NO_DUPLICATE = 2
+    DRAINED_ENDPOINT = 3
+    COLD_ENDPOINT = 4
 
 
 class Rules:
-    def __init__(self, clock: Clock, settings: Settings) -> None:
-        self.clock, self.settings = clock, settings
+    """Checks the rules and keeps the violations."""
+
+    def __init__(self, clock: Clock, drain_grace_us: int) -> None:
         self.named: list[dict[str, Any]] = []
         self.count = 0
+        self._clock = clock
+        self._drain_grace_us = drain_grace_us
 
-    def broke(self, rule: int, gateway: int, what: str) -> None:
+    def report(self, rule: Rule, gateway_index: int, what: str) -> None:
+        """Record a violation."""
         self.count += 1
-        if len(self.named) < NAMED:
-            at_s = (self.clock.now_us - START_US) / 1e6
-            self.named.append({"rule": rule, "at_s": at_s, "gateway": gateway, "what": what})
-
-    def never_ran(self, case: Try) -> bool:
-        return all(a.outcome in NEVER_EXECUTED for a in case.attempts)
-
-    def on_send(self, case: Try, group: int, groups: list[int]) -> None:
-        """An attempt to a server in `group`; those of the earlier attempts are in `groups`."""
-        if case.done:
-            self.broke(ABANDONED, case.gateway, f"{case.id} sent on after its end")
-        if any(a.outcome is None for a in case.attempts):
-            self.broke(DOUBLED, case.gateway, f"{case.id} has two attempts out")
-        elif case.klass.effect is Effect.NON_IDEMPOTENT and not self.never_ran(case):
-            self.broke(DOUBLED, case.gateway, f"{case.id} is unsafe, may have run and was sent again")
-        elif case.klass.effect is Effect.IDEMPOTENCY_KEY and not self.never_ran(case):
-            ran = [n for n, a in enumerate(case.attempts) if a.outcome not in NEVER_EXECUTED]
-            late_us = self.clock.now_us - case.attempts[ran[0]].sent_us
-            if any(groups[n] != group for n in ran) or late_us >= case.klass.window_s * 1e6:
-                self.broke(DOUBLED, case.gateway, f"{case.id} may have run and was sent outside its group")
-
-    def on_target(self, gateway: int, server: int, told_us: int | None) -> None:
-        """Sent to a server of which the gateway was told at a time that it drains or is gone."""
-        grace_us = self.settings.drain_grace_us
-        if told_us is not None and self.clock.now_us > told_us + grace_us:
-            late_s = (self.clock.now_us - told_us) / 1e6
-            self.broke(DRAINED, gateway, f"server {server} was sent to {late_s:.3f} s after it was to stop")
-
-    def on_answer(self, case: Try, refused: bool) -> None:
-        """A final answer by the gateway's own word."""
-        if case.answered:
-            self.broke(ABANDONED, case.gateway, f"{case.id} answered twice")
-        dropped = case.klass.effect is Effect.IDEMPOTENCY_KEY and case.klass.scope is DeduplicationScope.ALL
-        repeats = dropped or case.klass.effect is Effect.IDEMPOTENT
-        if refused and not case.done and not repeats and not self.never_ran(case):
-            self.broke(DOUBLED, case.gateway, f"{case.id} may have run and was refused")
-        case.answered = True
-
-    def on_overdue(self, case: Try) -> None:
-        self.broke(ABANDONED, case.gateway, f"{case.id} had no final answer in time")
-
-    def on_fall(self, server: int, told: float, gateway: int) -> None:
-        """A cold server fell; `told` is the part of its work from gateways that knew of its start."""
-        if told > 2.0 / 3.0:
-            self.broke(FELLED, gateway, f"server {server} fell over, cold, with {told:.2f} sent knowingly")
+        if len(self.named) < MAX_NAMED:
+            at_s = (self._clock.now_us - START_US) / 1e6
+            self.named.append({"rule": int(rule), "at_s": at_s, "gateway": gateway_index, "what": what})
+
+    def check_send(self, request: GatewayRequest, group: int, attempt_groups: list[int]) -> None:
+        """Check an attempt to an endpoint in `group`; those of earlier attempts are in `attempt_groups`."""
+        if request.finished:
+            self.report(Rule.ONE_ANSWER, request.gateway_index, f"{request.id} sent on after its end")
+        if any(attempt.outcome is None for attempt in request.attempts):
+            self.report(Rule.NO_DUPLICATE, request.gateway_index, f"{request.id} has two attempts out")
+            return
+        ran = [n for n, a in enumerate(request.attempts) if a.outcome not in NEVER_EXECUTED]
+        if not ran:
+            return
+        if request.request_class.effect is Effect.NON_IDEMPOTENT:
+            what = f"{request.id} is unsafe, may have run and was sent again"
+            self.report(Rule.NO_DUPLICATE, request.gateway_index, what)
+        elif request.request_class.effect is Effect.IDEMPOTENCY_KEY:
+            late_us = self._clock.now_us - request.attempts[ran[0]].sent_us
+            outside = any(attempt_groups[n] != group for n in ran)
+            if outside or late_us >= request.request_class.window_s * 1e6:
+                what = f"{request.id} may have run and was sent outside its group"
+                self.report(Rule.NO_DUPLICATE, request.gateway_index, what)
+
+    def check_target(self, gateway_index: int, endpoint_index: int, notified_us: int | None) -> None:
+        """Check an attempt to an endpoint; `notified_us`: when the gateway was notified that it stops."""
+        if notified_us is not None and self._clock.now_us > notified_us + self._drain_grace_us:
+            late_s = (self._clock.now_us - notified_us) / 1e6
+            what = f"server {endpoint_index} was sent to {late_s:.3f} s after it was to stop"
+            self.report(Rule.DRAINED_ENDPOINT, gateway_index, what)
+
+    def check_answer(self, request: GatewayRequest, refused: bool) -> None:
+        """Check a final answer of the gateway's own."""
+        if request.answered:
+            self.report(Rule.ONE_ANSWER, request.gateway_index, f"{request.id} answered twice")
+        terms = request.request_class
+        deduplicated = terms.effect is Effect.IDEMPOTENCY_KEY and terms.scope is DeduplicationScope.ALL
+        repeatable = deduplicated or terms.effect is Effect.IDEMPOTENT
+        never_ran = all(attempt.outcome in NEVER_EXECUTED for attempt in request.attempts)
+        if refused and not request.finished and not repeatable and not never_ran:
+            what = f"{request.id} may have run and was refused"
+            self.report(Rule.NO_DUPLICATE, request.gateway_index, what)
+        request.answered = True
+
+    def report_overdue(self, request: GatewayRequest) -> None:
+        """Record a request without a final answer at its deadline."""
+        what = f"{request.id} had no final answer in time"
+        self.report(Rule.ONE_ANSWER, request.gateway_index, what)
+
+    def check_crash(self, endpoint_index: int, knowing_share: float, gateway_index: int) -> None:
+        """Check the crash of a cold endpoint.
+
+        Args:
+            endpoint_index: The endpoint.
+            knowing_share: Part of its work that came from gateways that knew of its start.
+            gateway_index: The gateway that sent most.
+        """
+        if knowing_share > KNOWING_SHARE:
+            what = f"server {endpoint_index} fell over, cold, with {knowing_share:.2f} sent knowingly"
+            self.report(Rule.COLD_ENDPOINT, gateway_index, what)
--- a/lab/model/samples.py
+++ b/lab/model/samples.py
@@ -1,51 +1,51 @@
-"""What a day's report draws over time: a sample each second of the servers' load and the gateways' guards."""
+"""What a report draws over time: a sample each second of the endpoints' load and the gateways' guards."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from collections.abc import Sequence
 
-from lab.model.servers import Server, Step
+from lab.model.endpoint import JobState, ModelEndpoint
+from lab.model.fleet import EndpointFleet
+from lab.model.gateway import ModelGateway
 from load_balancer.decisions.balancer import Balancer
 
-if TYPE_CHECKING:
-    from lab.model.world import World
+MAX_ENDPOINTS = 100  # of which each is kept; of larger fleets there are the zones
 
-SERVERS = 100  # of which each is kept; of larger fleets the zones tell the rest
 
-
-def work_ms(server: Server) -> float:
-    """Work in hand on a core of speed 1: what waits, and what is left of what runs."""
-    waits = sum(job.work_us + job.extra_us for job in server.queue if job.step is Step.WAITING)
-    runs = sum(job.work_us + job.extra_us - server.done_us(job) for job in server.running)
-    return (waits + runs) / 1e3
+def pending_work_ms(endpoint: ModelEndpoint) -> float:
+    """Work in hand on a core of speed 1: what is queued, and what is left of what runs."""
+    queued = sum(job.total_us for job in endpoint.queue if job.state is JobState.QUEUED)
+    running = sum(job.total_us - endpoint.done_us(job) for job in endpoint.running)
+    return (queued + running) / 1e3
 
 
 class Samples:
-    """Lists by second; of the load, one row a second with a column a server or a zone."""
+    """Lists by second; of the load, one row a second with a column an endpoint or a zone."""
 
     def __init__(self) -> None:
-        self.servers: dict[str, list[list[int]]] = {"waiting": [], "work_ms": []}
+        self.endpoints: dict[str, list[list[int]]] = {"waiting": [], "work_ms": []}
         self.zones: dict[str, list[list[int]]] = {"waiting": [], "work_ms": []}
         self.guards: dict[str, list[list[float]]] = {}  # by kind: mean and most of the gateways
 
-    def take(self, world: World) -> None:
-        """One more second: load in whole requests and ms, limits in requests, what is shed as a share.
-
-        The guards are those of the gateways that are up, and none where the policy is not the Balancer's.
-        """
+    def take(self, fleet: EndpointFleet, gateways: Sequence[ModelGateway]) -> None:
+        """Add one second: load in whole requests and ms, limits in requests, what is shed as a share."""
         found = {
-            "waiting": [float(server.waiting) for server in world.servers],
-            "work_ms": [work_ms(server) for server in world.servers],
+            "waiting": [float(endpoint.waiting) for endpoint in fleet.endpoints],
+            "work_ms": [pending_work_ms(endpoint) for endpoint in fleet.endpoints],
         }
         for what, values in found.items():
-            sums = [0.0] * world.zones
-            for number, value in enumerate(values):
-                sums[world.zone(number)] += value
-            self.servers[what].append([round(value) for value in values[:SERVERS]])
+            sums = [0.0] * fleet.zones
+            for endpoint, value in zip(fleet.endpoints, values, strict=True):
+                sums[endpoint.zone] += value
+            self.endpoints[what].append([round(value) for value in values[:MAX_ENDPOINTS]])
             self.zones[what].append([round(value) for value in sums])
-        if not any(isinstance(gateway.policy, Balancer) for gateway in world.gateways):
+        self._take_guards(gateways)
+
+    def _take_guards(self, gateways: Sequence[ModelGateway]) -> None:
+        """Those of the gateways that are up, and none where the policy is not the Balancer's."""
+        if not any(isinstance(gateway.policy, Balancer) for gateway in gateways):
             return
-        held = [g.policy for g in world.gateways if g.up and isinstance(g.policy, Balancer)]
+        held = [g.policy for g in gateways if g.up and isinstance(g.policy, Balancer)]
         for what, values in {
             "open": [float(p.evidence.opened) for p in held],
             "half-open": [float(len(p.evidence.barred) - p.evidence.opened) for p in held],
--- /dev/null
+++ b/lab/model/scenario_files.py
@@ -0,0 +1,183 @@
+"""Scenario files in TOML: found, read and checked, with errors that name the key."""
+
+from __future__ import annotations
+
+import math
+import re
+import tomllib
+from pathlib import Path
+from typing import Any
+
+import msgspec
+
+from lab.model.scenario import (
+    FAULTS,
+    Choke,
+    ClientTerms,
+    ColdStart,
+    DiscoveryTerms,
+    Effect,
+    Fault,
+    Fleet,
+    Machines,
+    NetworkTerms,
+    Objective,
+    Partition,
+    Scenario,
+    Section,
+    TenantBurst,
+    Traffic,
+    TrafficClass,
+    TrafficTenant,
+    ZoneLoss,
+)
+from load_balancer.decisions.settings import DeduplicationScope
+
+FOLDER = Path(__file__).parent.parent / "scenarios"
+MIN_SECONDS = 10.0
+SHARES_TOLERANCE = 0.005  # for shares that are rounded in the file
+SECTIONS: dict[str, type[Section]] = {
+    "": Scenario,
+    "fleet": Fleet,
+    "fleet.machines": Machines,
+    "fleet.choke": Choke,
+    "fleet.cold": ColdStart,
+    "traffic": Traffic,
+    "traffic.classes": TrafficClass,
+    "traffic.tenants": TrafficTenant,
+    "network": NetworkTerms,
+    "discovery": DiscoveryTerms,
+    "clients": ClientTerms,
+    "goal": Objective,
+}
+FAULT_KINDS = {str(fault.__struct_config__.tag): fault for fault in FAULTS}
+
+
+class ScenarioError(ValueError):
+    """One line: the file, the key by its path, and what was expected there."""
+
+
+def find(name: str) -> Path:
+    """A path, or the name of one of the files in lab/scenarios."""
+    path = Path(name)
+    return path if path.suffix or path.exists() else FOLDER / f"{name}.toml"
+
+
+def load(path: Path) -> Scenario:
+    """Read and check a file.
+
+    Raises:
+        ScenarioError: It cannot be read, or is no scenario.
+    """
+    try:
+        text = path.read_text(encoding="utf-8")
+    except UnicodeDecodeError:
+        raise ScenarioError(f"{path.name}: expected UTF-8") from None
+    except OSError as error:
+        raise ScenarioError(f"{path.name}: cannot be read: {error.strerror}") from None
+    return parse(text, path.name)
+
+
+def parse(text: str, name: str) -> Scenario:
+    """The scenario in a TOML text.
+
+    Raises:
+        ScenarioError: With `name`, the key's path and what was expected.
+    """
+    try:
+        raw = tomllib.loads(text)
+        _check_finite(raw, "")
+        scenario = msgspec.convert(raw, Scenario)
+        _check(scenario)
+    except tomllib.TOMLDecodeError as error:
+        raise ScenarioError(f"{name}: expected TOML: {error}") from None
+    except msgspec.ValidationError as error:
+        raise ScenarioError(f"{name}: {_describe(raw, error)}") from None
+    except ScenarioError as error:
+        raise ScenarioError(f"{name}: {error}") from None
+    return scenario
+
+
+def _expected_keys(raw: dict[str, Any], path: str) -> list[str]:
+    """The keys that are expected in the section at a path."""
+    section = SECTIONS.get(re.sub(r"\[\d+\]", "", path))
+    if found := re.fullmatch(r"troubles\[(\d+)\]", path):
+        section = FAULT_KINDS.get(raw["troubles"][int(found[1])].get("kind"))
+    return [f.encode_name for f in msgspec.structs.fields(section)] if section else []
+
+
+def _describe(raw: dict[str, Any], error: msgspec.ValidationError) -> str:
+    """The path of a key and what was expected of it, from msgspec's message."""
+    what, _, path = str(error).partition(" - at `")
+    path = path.rstrip("`").removeprefix("$").removeprefix(".").replace("[...]", "")
+    name = re.search("`(.*?)`", what)
+    dot = "." if path else ""
+    if "missing required field" in what and name:
+        return f"{path}{dot}{name[1]}: expected a value, but there is none"
+    if "unknown field" in what and name:
+        return f"{path}{dot}{name[1]}: expected one of the keys {', '.join(_expected_keys(raw, path))}"
+    if path.endswith(".kind"):
+        return f"{path}: expected one of {', '.join(FAULT_KINDS)}"
+    if path.endswith((".effect", ".scope")):
+        values = Effect if path.endswith(".effect") else DeduplicationScope
+        return f"{path}: expected one of {', '.join(v.value for v in values)}"
+    return f"{path or 'the file'}: {what[:1].lower()}{what[1:]}".replace("`", "")
+
+
+def _check_finite(value: Any, path: str) -> None:
+    if isinstance(value, dict):
+        for key, inner in value.items():
+            _check_finite(inner, f"{path}.{key}" if path else key)
+    elif isinstance(value, list):
+        for n, inner in enumerate(value):
+            _check_finite(inner, f"{path}[{n}]")
+    elif isinstance(value, float) and not math.isfinite(value):
+        raise ScenarioError(f"{path}: expected a finite number, got {value}")
+
+
+def _check_pairs(value: Any, path: str) -> None:
+    """Each pair [least, most] is in order."""
+    if isinstance(value, msgspec.Struct):
+        for name, key in zip(value.__struct_fields__, value.__struct_encode_fields__, strict=True):
+            _check_pairs(getattr(value, name), f"{path}.{key}" if path else key)
+    elif isinstance(value, tuple):
+        if len(value) == 2 and all(isinstance(v, float | int) for v in value):
+            if value[0] > value[1]:
+                raise ScenarioError(f"{path}: expected [least, most], got {list(value)}")
+        else:
+            for n, inner in enumerate(value):
+                _check_pairs(inner, f"{path}[{n}]")
+
+
+def _check(scenario: Scenario) -> None:
+    """Check what no single value shows."""
+    _check_pairs(scenario, "")
+    sections: tuple[tuple[str, tuple[Machines | TrafficClass | TrafficTenant, ...]], ...] = (
+        ("fleet.machines", scenario.fleet.machines),
+        ("traffic.classes", scenario.traffic.classes),
+        ("traffic.tenants", scenario.traffic.tenants),
+    )
+    for path, parts in sections:
+        if abs(sum(part.share for part in parts) - 1.0) > SHARES_TOLERANCE:
+            raise ScenarioError(f"{path}: expected shares that add up to 1")
+    if len(set(scenario.zones)) != len(scenario.zones) or not scenario.zones:
+        raise ScenarioError("fleet.regions: expected at least one zone, and each name once")
+    if scenario.seconds < MIN_SECONDS:
+        raise ScenarioError(f"seconds: expected at least {MIN_SECONDS:g}, got {scenario.seconds}")
+    for n, fault in enumerate(scenario.faults):
+        _check_fault(scenario, fault, f"troubles[{n}]")
+
+
+def _check_fault(scenario: Scenario, fault: Fault, path: str) -> None:
+    if fault.at_s >= scenario.seconds:
+        expected = f"expected less than seconds, {scenario.seconds}, got {fault.at_s}"
+        raise ScenarioError(f"{path}.at_s: {expected}")
+    match fault:
+        case ZoneLoss() if fault.zone not in scenario.zones:
+            raise ScenarioError(f"{path}.zone: expected one of {', '.join(scenario.zones)}")
+        case TenantBurst():
+            tenants = [tenant.name for tenant in scenario.traffic.tenants]
+            if fault.tenant not in tenants:
+                raise ScenarioError(f"{path}.tenant: expected one of {', '.join(tenants)}")
+        case Partition() if not set(fault.regions) <= set(scenario.fleet.regions):
+            raise ScenarioError(f"{path}.regions: expected some of {', '.join(scenario.fleet.regions)}")
--- a/lab/model/score.py
+++ b/lab/model/score.py
@@ -1,95 +1,134 @@
-"""What a day was worth: served in time over asked for, its parts, latency and cost by kind."""
+"""The score of a run: weight served in time over weight asked, its parts, latency and cost by kind."""
 
 from __future__ import annotations
 
 from collections import Counter
+from dataclasses import dataclass
 from typing import Any
 
 import numpy as np
 
 from lab.child import Hist
 from lab.model.engine import START_US
+from lab.model.requests import RequestEnd
 from lab.model.world import World
+from lab.schedule import Floats
 
 WINDOW_S = 10
+COUNTED_COSTS = (
+    "tries",
+    "attempts",
+    "repeats",
+    "handshakes",
+    "probes",
+    "crossings",
+    "peer_bytes",
+    "falls",
+)
 ENDS = ("in_time", "late", "refused", "failed", "unreachable", "lost")
 
 
 def ratio(served: float, asked: float) -> float:
+    """A share of nothing is all of it."""
     return served / asked if asked else 1.0
 
 
-def result(world: World) -> dict[str, Any]:
-    """All figures of a day that has been played; worth is counted by work, prices are not taken off."""
-    day, scenario, traffic = world.day, world.scenario, world.scenario.traffic
-    seconds = int(np.ceil(scenario.seconds))
-    asked, served = np.zeros(seconds), np.zeros(seconds)
-    by_class, by_tenant = np.zeros((len(traffic.classes), 2)), np.zeros((len(traffic.tenants), 2))
-    ends: Counter[str] = Counter()
-    latency = Hist()
-    for n, how in enumerate(world.ended):
-        klass, second = traffic.classes[day.klass[n]], (day.times_us[n] - START_US) // 1_000_000
-        gain = 0.0
-        if how == "served":
-            in_time = world.latency_us[n] <= klass.aim_ms * 1e3
-            gain = day.worth[n] * (1.0 if in_time else klass.late_worth)
+@dataclass
+class Tally:
+    """Weight asked and served of a run, as a whole and by its parts."""
+
+    asked: Floats  # by second
+    served: Floats
+    by_class: Floats  # one row a class: served and asked
+    by_tenant: Floats  # one row a tenant: served and asked, without what is over quota
+    ends: Counter[str]  # by the words of results
+    latency: Hist
+
+    def parts(self) -> dict[str, float]:
+        """The parts of the score, each the share of the weight that was served."""
+        windows = range(max(1, len(self.asked) - WINDOW_S + 1))
+        return {
+            "whole": ratio(float(self.served.sum()), float(self.asked.sum())),
+            "worst_window": min(
+                ratio(
+                    float(self.served[s : s + WINDOW_S].sum()),
+                    float(self.asked[s : s + WINDOW_S].sum()),
+                )
+                for s in windows
+            ),
+            "worst_class": min(ratio(*pair) for pair in self.by_class.tolist()),
+            "worst_tenant": min(ratio(*pair) for pair in self.by_tenant.tolist()),
+        }
+
+
+def tally(world: World) -> Tally:
+    """Count the weight of all requests; prices are not taken off."""
+    workload, traffic = world.workload, world.scenario.traffic
+    seconds = int(np.ceil(world.scenario.seconds))
+    found = Tally(
+        np.zeros(seconds),
+        np.zeros(seconds),
+        np.zeros((len(traffic.classes), 2)),
+        np.zeros((len(traffic.tenants), 2)),
+        Counter(),
+        Hist(),
+    )
+    for row, end in enumerate(world.record.ends):
+        class_index, weight = workload.request_class[row], workload.weight[row]
+        request_class, second = traffic.classes[class_index], (workload.times_us[row] - START_US) // 1_000_000
+        gain, how = 0.0, end.value
+        if end is RequestEnd.SERVED:
+            latency_us = world.record.latency_us[row]
+            in_time = latency_us <= request_class.latency_objective_ms * 1e3
+            gain = weight * (1.0 if in_time else request_class.late_weight_share)
             how = "in_time" if in_time else "late"
-            latency.add(world.latency_us[n])
-        ends[how] += 1
-        asked[second] += day.worth[n]
-        served[second] += gain
-        by_class[day.klass[n]] += (gain, day.worth[n])
-        if not day.over[n]:
-            by_tenant[day.tenant[n]] += (gain, day.worth[n])
-    parts = {
-        "whole": ratio(float(served.sum()), float(asked.sum())),
-        "worst_window": min(
-            ratio(float(served[s : s + WINDOW_S].sum()), float(asked[s : s + WINDOW_S].sum()))
-            for s in range(max(1, seconds - WINDOW_S + 1))
-        ),
-        "worst_class": min(ratio(*pair) for pair in by_class.tolist()),
-        "worst_tenant": min(ratio(*pair) for pair in by_tenant.tolist()),
+            found.latency.add(latency_us)
+        found.ends[how] += 1
+        found.asked[second] += weight
+        found.served[second] += gain
+        found.by_class[class_index] += (gain, weight)
+        if not workload.over_quota[row]:
+            found.by_tenant[workload.tenant[row]] += (gain, weight)
+    return found
+
+
+def costs(world: World) -> dict[str, float]:
+    """What the run cost, by kind."""
+    record, endpoints = world.record, world.fleet.endpoints
+    offered_us = float(sum(world.workload.work_us))
+    worked_us = sum(endpoint.worked_us for endpoint in endpoints)
+    return {kind: record.costs[kind] for kind in COUNTED_COSTS} | {
+        "list_lines": world.registry.lines,
+        "list_calls": world.registry.calls,
+        "connections": float(np.mean(record.open_connections)) if record.open_connections else 0.0,
+        "wasted_work": ratio(worked_us - record.useful_us, offered_us),
+        "chokes": sum(endpoint.chokes for endpoint in endpoints),
     }
-    goal = scenario.goal
-    weights = {name: getattr(goal, name) for name in parts}
+
+
+def result(world: World) -> dict[str, Any]:
+    """All figures of a run that has been played, under the keys of stored results."""
+    found = tally(world)
+    parts, count, latency = found.parts(), len(world.record.ends), found.latency
+    weights = {name: getattr(world.scenario.objective, name) for name in parts}
     total = sum(weights.values()) or 1.0
-    count = len(world.ended)
-    offered_us = float(sum(day.work_us))
-    worked_us = sum(server.worked_us for server in world.servers)
-    costs = {
-        kind: world.costs[kind]
-        for kind in (
-            "tries",
-            "attempts",
-            "repeats",
-            "handshakes",
-            "probes",
-            "crossings",
-            "peer_bytes",
-            "falls",
-        )
-    }
-    connections = float(np.mean(world.open_connections)) if world.open_connections else 0.0
     return {
         "G": sum(parts[name] * weight for name, weight in weights.items()) / total,
         **parts,
         "asked": count,
-        "shares": {how: ends[how] / count if count else 0.0 for how in ENDS},
+        "shares": {how: found.ends[how] / count if count else 0.0 for how in ENDS},
         "p50_ms": latency.at(50) if latency.count else None,
         "p99_ms": latency.at(99) if latency.count else None,
         "latency": latency.text(),
-        "costs": costs | {
-            "list_lines": world.registry.lines,
-            "list_calls": world.registry.calls,
-            "connections": connections,
-            "wasted_work": ratio(worked_us - world.useful_us, offered_us),
-            "chokes": sum(server.chokes for server in world.servers),
-        },
+        "costs": costs(world),
         "broken": {"count": world.rules.count, "named": world.rules.named},
-        "worth_by_s": [[round(a), round(s)] for a, s in zip(asked.tolist(), served.tolist(), strict=True)],
-        "zones": list(scenario.zones),
-        "server_load": world.samples.servers,
+        "worth_by_s": [
+            [round(asked), round(served)]
+            for asked, served in zip(found.asked.tolist(), found.served.tolist(), strict=True)
+        ],
+        "zones": list(world.scenario.zones),
+        "server_load": world.samples.endpoints,
         "zone_load": world.samples.zones,
         "guards": world.samples.guards,
         "events": world.clock.events,
-    }  # fmt: skip
+    }
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -17,12 +17,12 @@
 
 from lab import page
 from lab.__main__ import lab
-from lab.model import experiment, scenario, score
-from lab.model.clients import beyond
+from lab.model import experiment, scenario_files, score
+from lab.model.endpoint import Job, LoadReport, ModelEndpoint, Overload
 from lab.model.engine import START_US, Clock
-from lab.model.policies import POLICIES, Open, Policy, Textbook
+from lab.model.policies import POLICIES, OpenRequest, Policy, ReferencePolicy
 from lab.model.scenario import Scenario
-from lab.model.servers import Job, Load, Server
+from lab.model.workload import find_over_quota
 from lab.model.world import World
 from load_balancer.decisions import balancer as choice
 from load_balancer.decisions import evidence
@@ -63,7 +63,7 @@
 
 
 def tiny(more: str = "") -> Scenario:
-    return scenario.parse(TINY + more, "tiny.toml")
+    return scenario_files.parse(TINY + more, "tiny.toml")
 
 
 def played(it: Scenario, make: Callable[[Settings, int], Policy], seed: int = 1) -> World:
@@ -79,9 +79,9 @@
 # Days
 
 
-@pytest.mark.parametrize("path", sorted(scenario.FOLDER.glob("*.toml")), ids=lambda path: path.stem)
+@pytest.mark.parametrize("path", sorted(scenario_files.FOLDER.glob("*.toml")), ids=lambda path: path.stem)
 def test_each_scenario_file_plays_without_a_broken_rule(path: Path) -> None:
-    it = scenario.load(path)
+    it = scenario_files.load(path)
     world = played(msgspec.structs.replace(it, seconds=min(it.seconds, 240.0)), POLICIES["rosedeal"])
     assert world.rules.named == []
     found = score.result(world)
@@ -129,54 +129,54 @@
 
 
 def test_more_draws_of_one_concern_change_no_other() -> None:
-    calm, loud = (played(tiny(text), Textbook).day for text in ("", "[clients]\nretries = 5\n"))
+    calm, loud = (played(tiny(text), ReferencePolicy).workload for text in ("", "[clients]\nretries = 5\n"))
     assert calm.times_us == loud.times_us and calm.work_us == loud.work_us
 
 
 def test_requests_beyond_a_quota_are_those_that_find_its_bucket_empty() -> None:
     times = np.array([0.0, 0.1, 0.2, 0.3, 1.3, 1.4])
-    assert beyond(times, 2.0) == [False, False, True, True, False, False]
-    assert beyond(times, 0.0) == [False] * 6
+    assert find_over_quota(times, 2.0) == [False, False, True, True, False, False]
+    assert find_over_quota(times, 0.0) == [False] * 6
 
 
 def test_worth_is_what_is_served_in_time() -> None:
-    class RefusesAll(Textbook):
+    class RefusesAll(ReferencePolicy):
         def handle(self, now_us: int, event: Event) -> list[Action]:
             return [Reject(event.request_id)] if isinstance(event, RequestArrived) else []
 
     kind = TINY.replace("errors = 0.1\n", "")
-    served = score.result(played(scenario.parse(kind, "tiny.toml"), Textbook))
+    served = score.result(played(scenario_files.parse(kind, "tiny.toml"), ReferencePolicy))
     assert served["G"] == served["worst_window"] == 1.0 and served["shares"]["in_time"] == 1.0
     refused = score.result(played(tiny(), RefusesAll))
     assert refused["G"] == 0.0 and refused["shares"]["refused"] == 1.0 and refused["p99_ms"] is None
     kind = kind.replace("[0.9, 1.1]", "[0.05, 0.05]").replace("rate_per_s = 40.0", "rate_per_s = 2.0")
-    late = score.result(played(scenario.parse(kind, "tiny.toml"), Textbook))
+    late = score.result(played(scenario_files.parse(kind, "tiny.toml"), ReferencePolicy))
     assert late["shares"]["late"] > 0.8 and late["G"] < 0.45, "a quarter of the worth is left"
 
 
 # Rules
 
 
-class AnswersTwice(Textbook):
+class AnswersTwice(ReferencePolicy):
     def handle(self, now_us: int, event: Event) -> list[Action]:
         if isinstance(event, RequestArrived):
             return [Reject(event.request_id), Reject(event.request_id)]
         return super().handle(now_us, event)
 
 
-class NeverAnswers(Textbook):
+class NeverAnswers(ReferencePolicy):
     def handle(self, now_us: int, event: Event) -> list[Action]:
         return [] if isinstance(event, RequestArrived) else super().handle(now_us, event)
 
 
-class SendsAfterItsEnd(Textbook):
+class SendsAfterItsEnd(ReferencePolicy):
     def handle(self, now_us: int, event: Event) -> list[Action]:
         if isinstance(event, RequestArrived):
             return [Reject(event.request_id), Send(event.request_id, self.listed[0], 1_000)]
         return super().handle(now_us, event)
 
 
-class Resends(Textbook):
+class Resends(ReferencePolicy):
     """What may have run goes out again, whatever it does."""
 
     def on_end(self, now_us: int, event: AttemptEnded) -> list[Action]:
@@ -185,7 +185,7 @@
             return self.send(now_us, event.request_id)
         return super().on_end(now_us, event)
 
-    def is_unsafe(self, case: Open) -> bool:
+    def is_unsafe(self, case: OpenRequest) -> bool:
         return case.event.request_class == 1
 
 
@@ -197,12 +197,12 @@
         return super().send(now_us, request)
 
 
-class TwoCopies(Textbook):
+class TwoCopies(ReferencePolicy):
     def send(self, now_us: int, request: str) -> list[Action]:
         return [action for action in super().send(now_us, request) for _ in range(2)]
 
 
-class NeverLets(Textbook):
+class NeverLets(ReferencePolicy):
     """Goes on with every server that it has once heard of."""
 
     def on_list(self, now_us: int, event: EndpointListReceived) -> list[Action]:
@@ -212,7 +212,7 @@
         return actions
 
 
-class Deaf(Textbook):
+class Deaf(ReferencePolicy):
     """Asks for no list, so that it counts as told."""
 
     def on_list(self, now_us: int, event: EndpointListReceived) -> list[Action]:
@@ -220,7 +220,7 @@
         return []
 
 
-class Floods(Textbook):
+class Floods(ReferencePolicy):
     """All goes to the server that has started last."""
 
     newest = 0
@@ -256,7 +256,7 @@
         (Floods, 4, "fell over, cold"),
     ],
 )
-def test_a_mutant_that_breaks_a_rule_is_named(mutant: type[Textbook], rule: int, text: str) -> None:
+def test_a_mutant_that_breaks_a_rule_is_named(mutant: type[ReferencePolicy], rule: int, text: str) -> None:
     world = played(tiny(RELEASE + BURST), mutant)
     assert rules(world) == {rule}
     first = next(broken for broken in world.rules.named if text in broken["what"])
@@ -264,7 +264,7 @@
 
 
 class RepeatsAnywhere(Resends):
-    def is_unsafe(self, case: Open) -> bool:
+    def is_unsafe(self, case: OpenRequest) -> bool:
         return True
 
 
@@ -279,7 +279,7 @@
 )
 def test_a_keyed_request_is_repeated_in_its_scope_and_window_only(terms: str, broken: set[int]) -> None:
     text = TINY.replace('effect = "unsafe"', f'effect = "keyed", {terms}')
-    assert rules(played(scenario.parse(text, "tiny.toml"), RepeatsAnywhere)) == broken
+    assert rules(played(scenario_files.parse(text, "tiny.toml"), RepeatsAnywhere)) == broken
 
 
 @pytest.mark.parametrize("policy", POLICIES)
@@ -292,7 +292,7 @@
     it = tiny(RELEASE + BURST)
     discovery = msgspec.structs.replace(it.discovery, must_ask_s=100.0)
     unaware = played(msgspec.structs.replace(it, discovery=discovery), Deafly)
-    assert unaware.costs["falls"] and rules(unaware) == set()
+    assert unaware.record.costs["falls"] and rules(unaware) == set()
 
 
 # Servers
@@ -303,21 +303,21 @@
 
     def __init__(self, fleet: str = "") -> None:
         fleet = f"[fleet]\n{fleet}\n"
-        it = scenario.parse(TINY.replace("[fleet]\n", fleet).replace("errors = 0.1\n", ""), "tiny.toml")
+        it = scenario_files.parse(TINY.replace("[fleet]\n", fleet).replace("errors = 0.1\n", ""), "tiny.toml")
         self.clock = Clock()
-        self.server = Server(self.clock, it.fleet, 0, 0, 1.0, 30_000.0)
-        self.ends: list[tuple[int, Outcome, Load]] = []
+        self.endpoint = ModelEndpoint(self.clock, it.fleet, 0, 0, 1.0, 30_000.0)
+        self.ends: list[tuple[int, Outcome, LoadReport]] = []
 
-    def job(self, work_us: float = 10_000.0, others_us: int = 0, told: bool = True) -> Job:
-        def answer(outcome: Outcome, load: Load) -> None:
+    def job(self, work_us: float = 10_000.0, blocked_us: int = 0, knows_start: bool = True) -> Job:
+        def answer(outcome: Outcome, load: LoadReport) -> None:
             self.ends.append((self.clock.now_us - START_US, outcome, load))
 
-        return Job(work_us, 0.0, others_us, False, told, 0, answer, lambda: answer(Outcome.RESET, ()))
+        return Job(work_us, 0.0, blocked_us, False, knows_start, 0, answer, lambda: answer(Outcome.RESET, ()))
 
     def take(self, count: int = 1, **work: Any) -> list[Job]:
         jobs = [self.job(**work) for _ in range(count)]
         for job in jobs:
-            self.server.take(job)
+            self.endpoint.take(job)
         return jobs
 
     def run(self, seconds: float) -> None:
@@ -326,25 +326,25 @@
 
 def test_a_server_works_on_its_cores_in_turn_and_waits_on_others_without_one() -> None:
     bench = Bench()
-    bench.take(3, others_us=5_000)
+    bench.take(3, blocked_us=5_000)
     bench.run(1.0)
     assert [at for at, _, _ in bench.ends] == [15_000, 15_000, 25_000]
 
 
 def test_what_waits_on_others_holds_its_slot_and_a_full_table_takes_capacity() -> None:
     bench = Bench("slots = 1\nconnections = 10")
-    bench.take(2, others_us=5_000)
+    bench.take(2, blocked_us=5_000)
     bench.run(1.0)
     assert [at for at, _, _ in bench.ends] == [15_000, 30_000]
-    bench.server.connections = 5
-    assert bench.server.rate == pytest.approx(0.95)
+    bench.endpoint.connections = 5
+    assert bench.endpoint.rate == pytest.approx(0.95)
 
 
 def test_a_full_server_turns_away_and_a_stopped_one_breaks_what_it_holds() -> None:
     bench = Bench("waiting = 1")
     bench.take(4)
     assert [outcome for _, outcome, _ in bench.ends] == [Outcome.REJECTED]
-    bench.server.stop(said=True)
+    bench.endpoint.stop(announced=True)
     assert [outcome for _, outcome, _ in bench.ends[1:]] == [Outcome.RESET] * 3
     bench.run(1.0)
     assert len(bench.ends) == 4
@@ -356,24 +356,24 @@
 ) -> None:
     bench = Bench(f"cancel_stops = {stops}")
     jobs = bench.take(3)
-    bench.server.drop(jobs[2])
+    bench.endpoint.drop(jobs[2])
     bench.run(0.004)
-    bench.server.drop(jobs[0])
+    bench.endpoint.drop(jobs[0])
     bench.run(1.0)
-    assert bench.server.waiting == 0 and bench.server.worked_us == 10_000.0 + worked_us
+    assert bench.endpoint.waiting == 0 and bench.endpoint.worked_us == 10_000.0 + worked_us
 
 
 def test_a_crowd_chokes_a_server_until_it_has_rested() -> None:
     bench = Bench()
     jobs = bench.take(40, work_us=1e6)
     bench.run(2.1)
-    assert bench.server.choked and bench.server.rate == pytest.approx(1 / 2.7)
+    assert bench.endpoint.choked and bench.endpoint.rate == pytest.approx(1 / 2.7)
     for job in jobs:
-        bench.server.drop(job)
+        bench.endpoint.drop(job)
     bench.run(3.4)
-    assert bench.server.choked
+    assert bench.endpoint.choked
     bench.run(0.3)
-    assert not bench.server.choked
+    assert not bench.endpoint.choked
 
 
 def test_a_crowd_that_leaves_in_time_chokes_nothing() -> None:
@@ -381,28 +381,28 @@
     jobs = bench.take(40, work_us=1e6)
     bench.run(1.9)
     for job in jobs:
-        bench.server.drop(job)
+        bench.endpoint.drop(job)
     bench.run(5.0)
-    assert not bench.server.choked
+    assert not bench.endpoint.choked
 
 
 def test_a_cold_server_warms_evenly_and_falls_when_it_is_sent_too_much() -> None:
     bench = Bench()
-    falls: list[tuple[float, int]] = []
-    bench.server.on_fall = lambda told, gateway: falls.append((told, gateway))
-    bench.server.stop(said=True)
-    bench.server.start()
-    assert bench.server.rate == pytest.approx(0.13)
+    falls: list[Overload] = []
+    bench.endpoint.on_crash = falls.append
+    bench.endpoint.stop(announced=True)
+    bench.endpoint.start()
+    assert bench.endpoint.rate == pytest.approx(0.13)
     bench.run(11.5)
-    assert bench.server.rate == pytest.approx(0.565)
+    assert bench.endpoint.rate == pytest.approx(0.565)
     allowed = 2.5 * 2 * 0.565 * 3e6 / 30_000.0
     most = int(allowed + 2 * allowed**0.5 + 2)
     bench.take(most, work_us=30_000.0)
     assert not falls
     bench.take(1, work_us=30_000.0)
-    assert falls == [(1.0, 0)] and not bench.server.up
-    bench.server.start()
-    assert not bench.server.up, "it stays down"
+    assert falls == [(1.0, 0)] and not bench.endpoint.up
+    bench.endpoint.start()
+    assert not bench.endpoint.up, "it stays down"
 
 
 @given(st.lists(st.tuples(st.sampled_from(["take", "drop", "run", "stop"]), st.integers(1, 60)), max_size=80))
@@ -413,15 +413,15 @@
         if what == "take":
             jobs += bench.take(number % 7)
         elif what == "drop" and jobs:
-            bench.server.drop(jobs.pop(number % len(jobs)))
+            bench.endpoint.drop(jobs.pop(number % len(jobs)))
         elif what == "run":
             bench.run(number / 1e3)
         elif what == "stop":
-            bench.server.stop(said=number % 2 == 0)
-            bench.server.start()
+            bench.endpoint.stop(announced=number % 2 == 0)
+            bench.endpoint.start()
     taken = len(bench.ends)
     bench.run(30.0)
-    assert bench.server.waiting == 0 and not bench.server.running and not bench.server.elsewhere
+    assert bench.endpoint.waiting == 0 and not bench.endpoint.running and not bench.endpoint.blocked
     assert len(bench.ends) - taken <= len(jobs)
 
 
@@ -432,7 +432,7 @@
     heard: list[tuple[float, ListKind]] = []
 
     def make(settings: Settings, seed: int) -> Policy:
-        policy = Textbook(settings, seed)
+        policy = ReferencePolicy(settings, seed)
         inner = policy.on_list
 
         def on_list(now_us: int, event: EndpointListReceived) -> list[Action]:
@@ -456,7 +456,9 @@
     roll = '\n[[troubles]]\nkind = "gateways"\nat_s = 3.0\nfor_s = 0.0\npart = 0.5\ndown_s = 6.0\n'
     once = "\n[clients]\nretries = 0\n"
     unreachable = [
-        score.result(played(tiny(f"[network]\nfront_s = [{s}, {s}]\n{once}{roll}"), Textbook))["shares"]
+        score.result(played(tiny(f"[network]\nfront_s = [{s}, {s}]\n{once}{roll}"), ReferencePolicy))[
+            "shares"
+        ]
         for s in (0.0, 3.0)
     ]
     assert unreachable[0]["unreachable"] < 0.02
@@ -466,7 +468,7 @@
 def test_messages_between_gateways_come_late_and_not_through_a_cut() -> None:
     heard: list[tuple[int, int, int]] = []
 
-    class Talks(Textbook):
+    class Talks(ReferencePolicy):
         def handle(self, now_us: int, event: Event) -> list[Action]:
             if isinstance(event, PeerMessageReceived):
                 sent_us = int.from_bytes(event.data)
@@ -477,7 +479,7 @@
 
     text = TINY.replace('{west = ["a", "b"]}', '{west = ["a"], east = ["b"]}')
     text += '\n[[troubles]]\nkind = "cut"\nat_s = 3.0\nfor_s = 4.0\nregions = ["east"]\n'
-    found = score.result(played(scenario.parse(text, "tiny.toml"), Talks))
+    found = score.result(played(scenario_files.parse(text, "tiny.toml"), Talks))
     assert {pair[:2] for pair in heard} == {(0, 1), (1, 0)}
     assert all(4_800 <= delay_us <= 38_000 for _, _, delay_us in heard)
     assert found["costs"]["peer_bytes"] == 8 * len(heard) > 0
@@ -495,14 +497,14 @@
 def test_troubles_end_attempts_as_they_would(trouble: str, outcome: Outcome) -> None:
     ends: list[tuple[int, Outcome]] = []
 
-    class Watched(Textbook):
+    class Watched(ReferencePolicy):
         def on_end(self, now_us: int, event: AttemptEnded) -> list[Action]:
             ends.append((now_us - START_US, event.outcome))
             return super().on_end(now_us, event)
 
     text = TINY.replace('{west = ["a", "b"]}', '{west = ["a"], east = ["b"]}')
     text += f"\n[[troubles]]\nat_s = 3.0\nfor_s = 4.0\n{trouble}\n"
-    played(scenario.parse(text, "tiny.toml"), Watched)
+    played(scenario_files.parse(text, "tiny.toml"), Watched)
     assert any(what is outcome and 3e6 <= at < 8e6 for at, what in ends)
     assert all(what in (Outcome.OK, Outcome.ERROR) for at, what in ends if at < 3e6)
 
--- a/tests/test_stored_results.py
+++ b/tests/test_stored_results.py
@@ -18,7 +18,7 @@
 
 from lab import report
 from lab.__main__ import lab
-from lab.model import experiment, scenario
+from lab.model import experiment, scenario_files
 
 ROOT = Path(__file__).parent.parent
 FIXTURES = Path(__file__).parent / "fixtures"
@@ -133,7 +133,7 @@
 
 
 def test_the_delivered_scenario_is_the_stored_one() -> None:
-    assert scenario.load(scenario.find("ordinary")) == scenario.load(ORDINARY)
+    assert scenario_files.load(scenario_files.find("ordinary")) == scenario_files.load(ORDINARY)
 
 
 # Knobs by their stored names
@@ -169,7 +169,7 @@
     knob, name = experiment.parse_knob(text), text.partition("=")[0]
     experiment.turn([knob])
     try:
-        result = experiment.play(scenario.load(TINY), "rosedeal", 1)
+        result = experiment.play(scenario_files.load(TINY), "rosedeal", 1)
     finally:
         experiment.turn([experiment.parse_knob(f"{name}={KNOBS[name]}")])
     assert {figure: result.get(figure) for figure in EFFECTS[text]} == EFFECTS[text]
