--- a/lab/model/commands.py
+++ b/lab/model/commands.py
@@ -12,8 +12,10 @@
 from rich.console import Console
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 
-from lab.model import experiment, scenario_files
+from lab.model import comparison, experiment, scenario_files, summary
+from lab.model.errors import ScenarioError, UsageError
 from lab.model.policies import POLICIES
+from lab.model.results import Result, of_policy
 from lab.model.scenario import Scenario
 from lab.tables import table
 
@@ -46,31 +48,9 @@
     """
     before = signal.signal(signal.SIGTERM, signal.default_int_handler)  # so that the workers are ended too
     try:
-        day = scenario_files.load(scenario_files.find(scenario_name))
-        plan = experiment.Plan(
-            day,
-            tuple(dict.fromkeys(names or check_policies(day, scenario_name))),
-            seeds or day.seeds,
-            tuple(experiment.parse_knob(text) for text in knobs),
-        )
-        experiment.held(plan, out)
-        out.mkdir(parents=True, exist_ok=True)
-        began, events, new = time.monotonic(), 0, 0
-        bar = Progress(
-            TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), TimeRemainingColumn(),
-            console=Console(stderr=True),
-        )  # fmt: skip
-
-        def done(result: experiment.Result | None) -> None:
-            nonlocal events, new
-            if result is not None:
-                events, new = events + result.get("events", 0), new + 1
-            bar.advance(bar.task_ids[0])
-
-        with bar:
-            bar.add_task(day.name, total=len(list(plan.tasks())))
-            results = experiment.run(plan, out, jobs, done)
-    except (scenario_files.ScenarioError, experiment.UsageError) as error:
+        plan = make_plan(scenario_name, names, seeds, knobs)
+        found = play_plan(plan, out, jobs)
+    except (ScenarioError, UsageError) as error:
         raise click.UsageError(str(error)) from None
     except OSError as error:
         raise click.UsageError(f"{out} cannot be written: {error.strerror}") from None
@@ -82,32 +62,81 @@
         return 130
     finally:
         signal.signal(signal.SIGTERM, before)
-    results.sort(key=lambda r: (plan.policies.index(r["policy"]), r["seed"]))
+    found.sort(key=lambda r: (plan.policies.index(r["policy"]), r["seed"]))
+    print_results(plan, found)
+    return 1 if any("crash" in result for result in found) else 0
+
+
+def make_plan(
+    scenario_name: str, names: tuple[str, ...], seeds: int | None, knobs: tuple[str, ...]
+) -> experiment.Plan:
+    """The plan of a run: the scenario's own policies and seeds where none are given.
+
+    Raises:
+        ScenarioError: The file cannot be used.
+        UsageError: A knob cannot be used.
+    """
+    scenario = scenario_files.load(scenario_files.find(scenario_name))
+    return experiment.Plan(
+        scenario,
+        tuple(dict.fromkeys(names or check_policies(scenario, scenario_name))),
+        seeds or scenario.seeds,
+        tuple(experiment.parse_knob(text) for text in knobs),
+    )
+
+
+def play_plan(plan: experiment.Plan, out: Path, jobs: int) -> list[Result]:
+    """Play what the folder does not hold yet, with a progress bar and the pace on standard error."""
+    experiment.read_finished(plan, out)
+    out.mkdir(parents=True, exist_ok=True)
+    began, events, new = time.monotonic(), 0, 0
+    bar = Progress(
+        TextColumn("{task.description}"),
+        BarColumn(),
+        MofNCompleteColumn(),
+        TimeRemainingColumn(),
+        console=Console(stderr=True),
+    )
+
+    def advance(result: Result | None) -> None:
+        nonlocal events, new
+        if result is not None:
+            events, new = events + result.get("events", 0), new + 1
+        bar.advance(bar.task_ids[0])
+
+    with bar:
+        bar.add_task(plan.scenario.name, total=len(list(plan.tasks())))
+        found = experiment.run(plan, out, jobs, advance)
     took_s = time.monotonic() - began
     print(f"{new} days played in {took_s:.1f} s, {events / took_s:,.0f} events a second", file=sys.stderr)
-    print(experiment.summary(results))
-    for line in experiment.broken_rules(results):
+    return found
+
+
+def print_results(plan: experiment.Plan, found: list[Result]) -> None:
+    """Print the means, the broken rules, and the policies against the first one."""
+    print(summary.summary(found))
+    for line in summary.broken_rules(found):
         print(line)
     first, *others = plan.policies
     rows = []
     for other in others:
-        pair = [experiment.of_policy(results, policy) for policy in (first, other)]
-        rows += experiment.compare(pair[0], pair[1], other)[:1]
+        rows += comparison.compare(of_policy(found, first), of_policy(found, other), other)[:1]
     if rows:
         print(f"\nAgainst {first}:")
-        print(table(experiment.COMPARE_COLUMNS, rows))
-    return 1 if any("crash" in result for result in results) else 0
+        print(table(comparison.COMPARE_COLUMNS, rows))
 
 
-def check_policies(day: Scenario, name: str) -> tuple[str, ...]:
-    """Those that a file names; ScenarioError for one that is not there."""
-    for place, policy in enumerate(day.policies):
+def check_policies(scenario: Scenario, name: str) -> tuple[str, ...]:
+    """The policies that a file names.
+
+    Raises:
+        ScenarioError: One is not there.
+    """
+    for index, policy in enumerate(scenario.policies):
         if policy not in POLICIES:
             known = ", ".join(POLICIES)
-            raise scenario_files.ScenarioError(
-                f"{Path(name).name}: policies[{place}]: expected one of {known}"
-            )
-    return day.policies
+            raise ScenarioError(f"{Path(name).name}: policies[{index}]: expected one of {known}")
+    return scenario.policies
 
 
 @click.command("compare")
@@ -119,8 +148,8 @@
     There is a verdict only where the interval excludes nought.
     """
     try:
-        print(experiment.compare_folders(first, second))
-    except (experiment.UsageError, OSError) as error:
+        print(comparison.compare_folders(first, second))
+    except (UsageError, OSError) as error:
         raise click.UsageError(str(error)) from None
     return 0
 
@@ -129,11 +158,11 @@
 @click.argument("folder", metavar="DIR", type=click.Path(path_type=Path, exists=True, file_okay=False))
 def report_command(folder: Path) -> int:
     """Draw what `lab run` has written in DIR: DIR/report.html, one file with all its pictures."""
-    from lab import page  # its plots take long to import
+    from lab.page import document  # its plots take long to import
 
     try:
-        path, notes = page.write(folder)
-    except experiment.UsageError as error:
+        path, notes = document.write(folder)
+    except UsageError as error:
         raise click.UsageError(str(error)) from None
     except OSError as error:
         raise click.UsageError(f"{folder}: no report can be written: {error.strerror}") from None
--- /dev/null
+++ b/lab/model/results.py
@@ -0,0 +1,48 @@
+"""Result files: one JSON line for what all results have in common, then one a run."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Iterable
+from pathlib import Path
+from typing import Any
+
+from lab.model.errors import UsageError
+
+FILE = "results.jsonl"
+
+Result = dict[str, Any]
+
+
+def read(path: Path) -> tuple[Result | None, list[Result]]:
+    """Header and results of a file; a last line that was cut off is left out.
+
+    Raises:
+        UsageError: A line is no result.
+    """
+    header: Result | None = None
+    results: list[Result] = []
+    lines = path.read_bytes().split(b"\n") if path.exists() else []
+    for index, line in enumerate(lines[:-1]):  # the last one has no end yet, or is empty
+        try:
+            found = json.loads(line)
+            if index == 0:
+                header = {"scenario": found["scenario"], **found}
+            else:
+                results.append({"policy": str(found["policy"]), "seed": int(found["seed"]), **found})
+        except (ValueError, KeyError, TypeError):
+            raise UsageError(f"{path}: line {index + 1}: expected a result as JSON") from None
+    return header, results
+
+
+def write(path: Path, header: Result, results: Iterable[Result]) -> None:
+    """Write the whole file, in order of policy and seed, and put it in place at once."""
+    ordered = sorted(results, key=lambda r: (r["policy"], r["seed"]))
+    draft = path.with_suffix(".draft")
+    draft.write_text("".join(json.dumps(line) + "\n" for line in (header, *ordered)), encoding="utf-8")
+    draft.replace(path)
+
+
+def of_policy(results: Iterable[Result], policy: str) -> list[Result]:
+    """The results of one policy."""
+    return [result for result in results if result["policy"] == policy]
--- a/lab/model/scenario_files.py
+++ b/lab/model/scenario_files.py
@@ -10,6 +10,7 @@
 
 import msgspec
 
+from lab.model.errors import ScenarioError
 from lab.model.scenario import (
     FAULTS,
     Choke,
@@ -53,10 +54,6 @@
 FAULT_KINDS = {str(fault.__struct_config__.tag): fault for fault in FAULTS}
 
 
-class ScenarioError(ValueError):
-    """One line: the file, the key by its path, and what was expected there."""
-
-
 def find(name: str) -> Path:
     """A path, or the name of one of the files in lab/scenarios."""
     path = Path(name)
--- /dev/null
+++ b/lab/page/document.py
@@ -0,0 +1,76 @@
+"""The whole page: read from a folder's results, put together and written."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from html import escape
+from pathlib import Path
+
+from lab.model.errors import UsageError
+from lab.model.results import FILE, read
+from lab.page import html, plot_sections, table_sections
+from lab.page.plots import Plots
+from lab.page.view import View
+
+NAME = "report.html"
+SECTIONS: tuple[tuple[str, Callable[[Plots], str]], ...] = (
+    ("Policies side by side", table_sections.side_by_side),
+    ("Served worth over time", plot_sections.served_weight),
+    ("Latency percentiles", plot_sections.latency),
+    ("Load by server and zone", plot_sections.load),
+    ("Breakers and limits over time", plot_sections.guards),
+    ("Broken rules", table_sections.broken_rules),
+    ("Cost by kind", table_sections.costs),
+)
+
+
+def render(view: View) -> str:
+    """The page's HTML."""
+    name, seeds = str(view.header.get("scenario")), sorted({r["seed"] for r in view.results})
+    knobs = ", ".join(map(str, view.header.get("knobs") or ())) or "none turned"
+    program = escape(str(view.header.get("program", "not told")))
+    parts = [
+        f"<h1>Fleet model: {escape(name)}</h1>",
+        f"<p>Policies: {len(view.policies)}; seeds: {len(seeds)}; knobs: {escape(knobs)}; program: "
+        f"{program}. <strong>The figures are "
+        "the model's own: the operators' bench is the judge.</strong></p>",
+        html.note(
+            "Every policy meets the same days. A line or a bar is the mean over the seeds, "
+            "and the shade or the whisker reaches from the least to the most of them. A policy has one "
+            f"colour throughout: {view.key()}"
+        ),
+        *(html.note(escape(note)) for note in view.notes),
+    ]
+    plots = Plots(view)
+    for title, draw in SECTIONS:
+        section_id = title.lower().replace(" ", "-")
+        parts.append(f'<section id="{section_id}">\n<h2>{title}</h2>\n{draw(plots)}\n</section>')
+    return html.document(f"Fleet model: {name}", "\n".join(parts))
+
+
+def write(folder: Path) -> tuple[Path, list[str]]:
+    """Write the page of a folder of results.
+
+    Returns:
+        The page's path, and notes on the results.
+
+    Raises:
+        UsageError: There is nothing to draw.
+    """
+    path = folder / FILE
+    header, results = read(path)
+    if header is None or not results:
+        raise UsageError(f"{folder}: expected a folder with results that lab run has written")
+    notes = []
+    if not path.read_bytes().endswith(b"\n"):
+        notes.append(f"{FILE}: the last line is cut off and left out")
+    try:
+        text = render(View(header, results, notes))
+    except (KeyError, TypeError, ValueError, IndexError, AttributeError) as error:
+        why = f"{type(error).__name__}: {error}".splitlines()[0]
+        raise UsageError(f"{path}: expected results of this program's form ({why})") from None
+    page = folder / NAME
+    draft = page.with_suffix(".draft")
+    draft.write_text(text, encoding="utf-8")
+    draft.replace(page)
+    return page, notes
--- /dev/null
+++ b/lab/page/plots.py
@@ -0,0 +1,131 @@
+"""Plots of results as inline SVG."""
+
+from __future__ import annotations
+
+import io
+import re
+from collections.abc import Callable, Iterable, Sequence
+from typing import Any
+
+import matplotlib
+import numpy as np
+from matplotlib.axes import Axes
+from matplotlib.figure import Figure
+from matplotlib.lines import Line2D
+
+from lab.model.results import Result
+from lab.page.view import View
+from lab.schedule import Floats
+
+GREY = "#555555"
+WIDTH = 9.6  # inches
+LEGEND_CHARACTERS = 150  # in a line of the legend
+RC_PARAMS: dict[Any, Any] = {
+    "svg.hashsalt": "rosedeal",
+    "svg.fonttype": "none",
+    "text.parse_math": False,
+    "font.size": 9.0,
+    "axes.spines.top": False,
+    "axes.spines.right": False,
+    "axes.grid": True,
+    "grid.color": "#e4e4e4",
+    "axes.axisbelow": True,
+    "axes.titlesize": 9.5,
+    "legend.frameon": False,
+}
+NO_METADATA = {"Date": None, "Creator": None, "Format": None, "Type": None}
+
+
+class Plots:
+    """Draws the plots of one page, so that no two share an identifier."""
+
+    def __init__(self, view: View) -> None:
+        self.view = view
+        self._figures = 0
+
+    def band(self, axes: Axes, policy: str | None, values: Floats, at: Floats | None = None) -> None:
+        """Draw the mean with the range of values; a value that is not a number is left out.
+
+        Args:
+            axes: Where.
+            policy: Whose colour; None for grey.
+            values: One row a seed.
+            at: Places of the columns, by default the seconds from 1.
+        """
+        colour = GREY if policy is None else self.view.colour[policy]
+        valid = np.ma.masked_invalid(values)
+        x = np.arange(1, values.shape[1] + 1) if at is None else at
+        low, middle, high = (f(axis=0).filled(np.nan) for f in (valid.min, valid.mean, valid.max))
+        if len(values) > 1:
+            axes.fill_between(x, low, high, color=colour, alpha=0.13, lw=0)
+        axes.plot(x, middle, color=colour, lw=1.4)
+
+    def bars(
+        self,
+        names: Sequence[str],
+        titles: Sequence[str],
+        value: Callable[[Result, str], float | None],
+        columns: int,
+        most: float | None = None,
+    ) -> str:
+        """Draw a panel a name, with a bar a policy to the mean, and a whisker over the seeds' range.
+
+        Args:
+            names: Of the figures.
+            titles: Of the panels.
+            value: The figure of a name in a result.
+            columns: Of panels.
+            most: What every axis reaches to; without it, each reaches to its own.
+        """
+        by_policy = self.view.by_policy
+        with matplotlib.rc_context(RC_PARAMS):
+            rows = -(-len(names) // columns)
+            height = 0.45 + rows * (0.55 + 0.22 * len(by_policy))
+            figure = Figure((WIDTH, height), layout="constrained")
+            grid = figure.subplots(rows, columns, squeeze=False, sharey=True)
+            for axes in grid.flat[len(names) :]:
+                axes.set_axis_off()
+            for axes, name, title in zip(grid.flat, names, titles, strict=False):
+                longest = self._panel(axes, name, value, most)
+                axes.set(title=title, xlim=(0, (longest or 1.0) * 1.3))
+                axes.set_yticks(range(len(by_policy)), [printable(policy) for policy in by_policy])
+                axes.grid(False)
+                axes.locator_params(axis="x", nbins=3)
+            grid.flat[0].invert_yaxis()
+            return self.svg(figure, legend=False)
+
+    def _panel(
+        self, axes: Axes, name: str, value: Callable[[Result, str], float | None], most: float | None
+    ) -> float:
+        """Draw the bars of one figure; returns how far they reach."""
+        longest = most or 0.0
+        for row, (policy, results) in enumerate(self.view.by_policy.items()):
+            values = [v for r in results if (v := value(r, name)) is not None] or [0.0]
+            middle, low, high = float(np.mean(values)), min(values), max(values)
+            longest = max(longest, high)
+            axes.barh(row, middle, color=self.view.colour[policy], height=0.7)
+            axes.plot([low, high], [row, row], color="#333", lw=1.0)
+            text = f"{middle:.3f}" if most else f"{middle:.3g}"
+            axes.annotate(text, (high, row), (4, 0), textcoords="offset points", va="center", fontsize=8)
+        return longest
+
+    def svg(self, figure: Figure, policies: Iterable[str] | None = None, legend: bool = True) -> str:
+        """A figure as inline SVG, without date, outside reference or identifier that another one has."""
+        names = list(self.view.by_policy if policies is None else policies)
+        if legend:
+            columns = max(1, min(len(names), LEGEND_CHARACTERS // (max(map(len, names)) + 8)))
+            lines = [Line2D([], [], color=self.view.colour[name], lw=2.5) for name in names]
+            figure.legend(lines, list(map(printable, names)), loc="outside upper left", ncols=columns)
+        file = io.StringIO()
+        figure.savefig(file, format="svg", metadata=NO_METADATA)
+        self._figures += 1
+        text = file.getvalue()
+        text = re.sub(
+            r"<style.*?</style>|<metadata>.*?</metadata>", "", text[text.index("<svg") :], flags=re.S
+        )
+        return re.sub(r'(\bid="|url\(#|href="#)', rf"\g<1>f{self._figures}-", text)
+
+
+def printable(name: object) -> str:
+    """A name as it can be drawn."""
+    return "".join(c if c.isprintable() else "?" for c in str(name))
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -15,15 +15,17 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lab import page
 from lab.__main__ import lab
-from lab.model import experiment, scenario_files, score
+from lab.model import comparison, experiment, scenario_files, score
 from lab.model.endpoint import Job, LoadReport, ModelEndpoint, Overload
 from lab.model.engine import START_US, Clock
+from lab.model.errors import UsageError
 from lab.model.policies import POLICIES, OpenRequest, Policy, ReferencePolicy
+from lab.model.results import FILE, write
 from lab.model.scenario import Scenario
 from lab.model.workload import find_over_quota
 from lab.model.world import World
+from lab.page import document
 from load_balancer.decisions import balancer as choice
 from load_balancer.decisions import evidence
 from load_balancer.decisions.actions import Action, Reject, Send, SendPeerMessage
@@ -569,7 +571,7 @@
             days.append(task)
             yield experiment.play(plan.scenario, *task)
 
-    monkeypatch.setattr(experiment, "played", in_turn)
+    monkeypatch.setattr(experiment, "play_all", in_turn)
     return days
 
 
@@ -581,7 +583,7 @@
         out = tmp_path / jobs
         arguments = ("--seeds", "2", "--jobs", jobs, "--out", str(out))
         assert called("run", str(tmp_path / "tiny.toml"), *policies, *arguments) == 0
-        texts.append((out / experiment.FILE).read_bytes())
+        texts.append((out / FILE).read_bytes())
     assert texts[0] == texts[1] and texts[0].count(b"\n") == 5
 
 
@@ -589,7 +591,7 @@
     plan = experiment.Plan(tiny(), ("random", "round-robin"), 2)
     heard: list[object] = []
     experiment.run(plan, tmp_path, 1, heard.append)
-    path = tmp_path / experiment.FILE
+    path = tmp_path / FILE
     whole = path.read_bytes()
     lines = whole.splitlines(keepends=True)
     assert len(here) == len(heard) == 4
@@ -608,7 +610,7 @@
         experiment.Plan(tiny(RELEASE), ("random",), 1),
         experiment.Plan(tiny(), ("random",), 1, (experiment.parse_knob("choice.STEP=0.5"),)),
     ):
-        with pytest.raises(experiment.UsageError, match="expected an --out of its own"):
+        with pytest.raises(UsageError, match="expected an --out of its own"):
             experiment.run(plan, tmp_path, 1, lambda result: None)
 
 
@@ -655,12 +657,12 @@
 
 
 def test_an_interval_is_that_of_the_mean() -> None:
-    assert experiment.interval([0.25] * 8) == (0.25, 0.25, 0.25)
+    assert comparison.interval([0.25] * 8) == (0.25, 0.25, 0.25)
     values = [0.5 + (1.0 if n % 2 else -1.0) for n in range(400)]  # mean 0.5, deviation 1
-    middle, low, high = experiment.interval(values)
+    middle, low, high = comparison.interval(values)
     assert middle == pytest.approx(0.5)
     assert low == pytest.approx(0.5 - 1.96 / 20, abs=0.01) and high == pytest.approx(0.598, abs=0.01)
-    assert experiment.interval(values) == (middle, low, high)
+    assert comparison.interval(values) == (middle, low, high)
 
 
 @pytest.mark.parametrize(
@@ -677,7 +679,7 @@
 def test_a_verdict_needs_an_interval_without_nought(
     name: str, low: float, high: float, expected: str
 ) -> None:
-    assert experiment.verdict(name, low, high) == expected
+    assert comparison.verdict(name, low, high) == expected
 
 
 def test_folders_are_compared_in_pairs_by_seed(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
@@ -688,7 +690,7 @@
             {"policy": "random", "seed": seed, "G": seed / 10 + gain, "shares": {"late": 0.1}}
             for seed, gain in gains.items()
         ]
-        experiment.write(folder / experiment.FILE, {"scenario": "x", "digest": "1"}, results)
+        write(folder / FILE, {"scenario": "x", "digest": "1"}, results)
         return str(folder)
 
     one = fill("one", dict.fromkeys(range(1, 9), 0.0))
@@ -699,8 +701,8 @@
     assert rows["late"][6:] == ["no", "verdict"] and rows["whole"][6:] == ["too", "few", "pairs"]
     (tmp_path / "none").mkdir()
     assert called("compare", one, str(tmp_path / "none")) == 2
-    header = json.loads((tmp_path / "one" / experiment.FILE).read_text().splitlines()[0])
-    experiment.write(tmp_path / "two" / experiment.FILE, header | {"digest": "2"}, [])
+    header = json.loads((tmp_path / "one" / FILE).read_text().splitlines()[0])
+    write(tmp_path / "two" / FILE, header | {"digest": "2"}, [])
     assert called("compare", one, two) == 2
     assert capsys.readouterr().err.count("lab: ") == 2
 
@@ -744,7 +746,7 @@
     plan = experiment.Plan(tiny(RELEASE), ("rosedeal", "random"), 2)
     experiment.run(plan, tmp_path, 1, lambda result: None)
     assert called("report", str(tmp_path)) == 0
-    text = (tmp_path / page.NAME).read_text()
+    text = (tmp_path / document.NAME).read_text()
     outline = Outline(text)
     assert outline.sections == [
         "policies-side-by-side", "served-worth-over-time", "latency-percentiles", "load-by-server-and-zone",
@@ -755,20 +757,20 @@
     assert not any(
         word in text for word in ("mathdefault", "src=", "@import", "<script", "<link", 'href="http')
     )
-    assert called("report", str(tmp_path)) == 0 and (tmp_path / page.NAME).read_text() == text
+    assert called("report", str(tmp_path)) == 0 and (tmp_path / document.NAME).read_text() == text
 
 
 def test_a_report_escapes_names_and_says_what_it_leaves_out(
     tmp_path: Path, here: list[tuple[str, int]], capsys: pytest.CaptureFixture[str]
 ) -> None:
     name = "<i>$_{&amp;\0"
-    path = tmp_path / experiment.FILE
+    path = tmp_path / FILE
     result = experiment.play(tiny(), "random", 1) | {"policy": name, "zones": [name, name]}
     crash = {"policy": name, "seed": 2, "crash": name}
-    experiment.write(path, {"scenario": name, "knobs": [name], "program": name}, [result, crash])
+    write(path, {"scenario": name, "knobs": [name], "program": name}, [result, crash])
     path.write_bytes(path.read_bytes() + b'{"policy": "ran')
     assert called("report", str(tmp_path)) == 0
-    text = (tmp_path / page.NAME).read_text()
+    text = (tmp_path / document.NAME).read_text()
     assert Outline(text).sections and "<i>" not in text and "&lt;i&gt;$_{&amp;amp;" in text
     said = "results.jsonl: the last line is cut off and left out"
     assert capsys.readouterr().err == f"lab: {said}\n" and said in text
@@ -787,11 +789,11 @@
     text: str | None, expected: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     if text is not None:
-        (tmp_path / experiment.FILE).write_text(text)
+        (tmp_path / FILE).write_text(text)
     assert called("report", str(tmp_path)) == 2 and called("report", str(tmp_path / "none")) == 2
     lines = capsys.readouterr().err.splitlines()
     assert len(lines) == 2 and expected in lines[0] and all(line.startswith("lab: ") for line in lines)
-    assert not (tmp_path / page.NAME).exists()
+    assert not (tmp_path / document.NAME).exists()
 
 
 def test_samples_tell_each_second_of_the_day() -> None:
--- a/tests/test_stored_results.py
+++ b/tests/test_stored_results.py
@@ -18,7 +18,8 @@
 
 from lab import report
 from lab.__main__ import lab
-from lab.model import experiment, scenario_files
+from lab.model import experiment, scenario_files, summary
+from lab.model.results import FILE, Result, of_policy, read, write
 
 ROOT = Path(__file__).parent.parent
 FIXTURES = Path(__file__).parent / "fixtures"
@@ -51,9 +52,9 @@
     return int(ended.value.code or 0)
 
 
-def read_results(folder: Path) -> tuple[experiment.Result, list[experiment.Result]]:
+def read_results(folder: Path) -> tuple[Result, list[Result]]:
     """The header without the program's digest, and the results."""
-    header, results = experiment.read(folder / experiment.FILE)
+    header, results = read(folder / FILE)
     assert header is not None
     assert header.pop("program")
     return header, results
@@ -91,7 +92,7 @@
     capsys.readouterr()
     assert call_lab("compare", BEFORE, tmp_path / "new") == 0
     rows = capsys.readouterr().out.splitlines()[1:]
-    assert [row.split()[:3] for row in rows] == [["rosedeal", name, "5"] for name in experiment.COMPARED]
+    assert [row.split()[:3] for row in rows] == [["rosedeal", name, "5"] for name in summary.COMPARED]
     assert all(row.split()[3:6] == ["+0.0000"] * 3 for row in rows)
 
 
@@ -114,10 +115,10 @@
 def test_results_of_another_program_are_not_continued(
     stored_after: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    path = stored_after / experiment.FILE
-    header, results = experiment.read(path)
+    path = stored_after / FILE
+    header, results = read(path)
     assert header is not None
-    experiment.write(path, header | {"program": "0" * 16}, results)
+    write(path, header | {"program": "0" * 16}, results)
     before = path.read_bytes()
     assert run_policy(TINY, 5, stored_after, "--knob", "choice.RING=20") == 2
     assert "holds runs of another program: expected an --out of its own" in capsys.readouterr().err
@@ -150,8 +151,8 @@
     stored_header, stored = read_results(folder)
     assert header == stored_header
     assert header["knobs"] == [knob]
-    assert results == experiment.of_policy(stored, "rosedeal")
-    unchanged = experiment.of_policy(read_results(BEFORE)[1], "rosedeal")
+    assert results == of_policy(stored, "rosedeal")
+    unchanged = of_policy(read_results(BEFORE)[1], "rosedeal")
     assert all(result not in unchanged for result in results)
 
 
