--- a/load_balancer/gateway/proxy.py
+++ b/load_balancer/gateway/proxy.py
@@ -132,7 +132,7 @@
     @property
     def settings_version(self) -> SettingsVersion:
         """The version in force."""
-        return self.balancer.generation
+        return self.balancer.settings_version
 
     def apply_settings(self, config: Config, version: SettingsVersion) -> None:
         """Put a version in force for requests from now on; connections stay."""
@@ -211,9 +211,9 @@
 
     def _log_suppressed(self) -> None:
         """Log how many lines the balancer has left out since the last time."""
-        unsaid, self.balancer.unsaid = self.balancer.unsaid, 0
-        if unsaid:
-            log_event("balancer.suppressed", suppressed=unsaid)
+        suppressed, self.balancer.log.suppressed = self.balancer.log.suppressed, 0
+        if suppressed:
+            log_event("balancer.suppressed", suppressed=suppressed)
 
     # What the network brings
 
--- a/tests/gateway/test_client_disconnects.py
+++ b/tests/gateway/test_client_disconnects.py
@@ -194,7 +194,7 @@
     draining: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with gateway(settings=settings(mayCancel=False)) as it:
-        it.proxy.balancer.limit = 100.0  # nothing is shed for what is out
+        it.proxy.balancer.concurrency_limit.limit = 100.0  # nothing is shed for what is out
         free = hold_connects(it, monkeypatch)
         clients = [await it.client() for _ in range(20)]
         for client in clients:
--- a/tests/gateway/test_event_log.py
+++ b/tests/gateway/test_event_log.py
@@ -53,9 +53,9 @@
             bypass = re.fullmatch(r"(log|logging|print)(\.\w+)?", called)
             assert not bypass or path.name in ("cli.py", "event_log.py", "adapter.py"), where
             fields = {field.arg for field in node.keywords}
-            if called == "self.log" or (
-                called == "log_event" and not isinstance(node.args[0], ast.Attribute)
-            ):
+            if called in ("self.log.write", "self._log.write"):
+                name = node.args[1]  # after the time
+            elif called == "log_event" and not isinstance(node.args[0], ast.Attribute):
                 name = node.args[0]
             else:
                 continue
@@ -217,7 +217,7 @@
         async with gateway(settings={**settings(), "tenants": [{"name": "acme"}, {"name": "zeta"}]}) as it:
             (server,) = it.proxy.upstream.endpoints
             send: Any = Send
-            it.proxy.balancer.unsaid = 3
+            it.proxy.balancer.log.suppressed = 3
             handle = it.proxy.balancer.handle
 
             def broken(now_us: int, event: Event) -> list[Action]:
@@ -245,7 +245,7 @@
             assert breaker == about | {"event": "circuit_breaker.changed", "state": "open"}
             assert failed.items() >= (about | {"event": "action.failed", "request_id": "1"}).items()
             assert suppressed == {"event": "balancer.suppressed", "suppressed": 3}
-            assert not it.proxy.balancer.unsaid
+            assert not it.proxy.balancer.log.suppressed
 
     caplog.set_level(logging.INFO)
     run(test())
--- a/tests/gateway/test_reload.py
+++ b/tests/gateway/test_reload.py
@@ -359,12 +359,13 @@
                 for request_class, tenant in ((f"k{turn}", f"t{turn}"), ("look", "acme")):
                     await it.gateway.served(client, ask(request_class, "GET", Tenant=tenant))
             balancer = it.gateway.proxy.balancer
+            classes = balancer.context.classes
             assert it.settings_version == 61
-            assert len(balancer.classes) == 2 == len(balancer.classes.by_number)
-            assert balancer.demand.asked.keys() <= balancer.classes.by_number.keys()
+            assert len(classes) == 2 == len(classes.by_id)
+            assert balancer.demand.within_quota.keys() <= classes.by_id.keys()
             assert not it.gateway.proxy.ledger.pending
-            assert not balancer.requests
-            assert balancer.classes[1].answers == 60
+            assert not balancer.lifecycle.requests
+            assert classes[1].answers == 60
 
     run(test())
 
