--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -20,7 +20,7 @@
 from load_balancer.gateway.discovery import DiscoveryClient
 from load_balancer.gateway.discovery_call import DiscoveryCall
 from load_balancer.gateway.discovery_messages import JsonStreamSplitter, endpoint_id_of
-from tests.helpers import SAFE, Driver, timers
+from tests.decisions.driver import SAFE, Driver, timers
 from tests.sockets import Gateway, Registry, chunk, entry, gateway, news, run, send_now, settings
 
 
@@ -154,7 +154,7 @@
 
 def retry_waits_s(failures: int, settings: Settings) -> list[float]:
     """The balancer's waits after each of that many failed calls in a row."""
-    driver = Driver(settings, servers=0)
+    driver = Driver(settings, endpoints=0)
     waits_s = []
     for _ in range(failures):
         (timer,) = timers(driver.handle(EndpointListReceived(ListKind.ERROR)))
