--- /dev/null
+++ b/tests/gateway/conftest.py
@@ -0,0 +1,19 @@
+"""Runs tests that are coroutines on the event loop of the gateway."""
+
+from __future__ import annotations
+
+import inspect
+
+import pytest
+
+from tests.sockets import run
+
+
+@pytest.hookimpl(tryfirst=True)
+def pytest_pyfunc_call(pyfuncitem: pytest.Function) -> bool | None:
+    """Run a coroutine function to its end within the time that a test has."""
+    if not inspect.iscoroutinefunction(pyfuncitem.obj):
+        return None
+    names = inspect.signature(pyfuncitem.obj).parameters
+    run(pyfuncitem.obj(**{name: pyfuncitem.funcargs[name] for name in names}))
+    return True
--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -21,7 +21,7 @@
 from load_balancer.gateway.discovery_call import DiscoveryCall
 from load_balancer.gateway.discovery_messages import JsonStreamSplitter, endpoint_id_of
 from tests.helpers import SAFE, Driver, timers
-from tests.sockets import Gateway, Registry, chunk, entry, gateway, news, run, send_now, settings
+from tests.sockets import Gateway, Registry, chunk, entry, gateway, news, send_now, settings
 
 
 @asynccontextmanager
@@ -51,41 +51,33 @@
     return event.kind, [f"{names[s.id]} {s.status.value}" for s in event.endpoints]
 
 
-def test_a_watch_starts_from_the_cached_index_and_brings_changes() -> None:
-    async def test() -> None:
-        async with gateway() as it:
-            assert await next_list(it) == (ListKind.CACHED, ["h0 ready"])
-            first, watch = await it.registry.watches.get()
-            assert first == "GET /registry/instances?stream=1&index=7 HTTP/1.1"
-            h1 = entry(
-                "h1", it.host.address, since_ms=1_700_000_000_123, zone="b", weight=1.5, group=3, new=1
-            )
-            watch.write(chunk(news(h1)) + chunk("\n"))
-            event = await it.event(EndpointListReceived)
-            assert event.kind is ListKind.DELTA
-            (server,) = event.endpoints
-            assert (server.zone, server.kind, server.group, server.weight) == (1, 0, 3, 1.5)
-            assert server.started_us == 1_700_000_000_123_000
-            watch.write(chunk(news(entry("h1", it.host.address, "left"))))
-            assert await next_list(it) == (ListKind.DELTA, ["h1 gone"])
-            watch.write(chunk(news(entry("h2", it.host.address), snapshot=True)))
-            assert await next_list(it) == (ListKind.COMPLETE, ["h2 ready"])
-            assert it.proxy.upstream.hosts[endpoint_id_of("h0")].draining  # the full list lacks it
-
-    run(test())
-
-
-def test_a_line_in_pieces_is_one_line() -> None:
-    async def test() -> None:
-        async with watched() as (it, watch):
-            line = news(entry("h1", it.host.address))
-            watch.write(chunk(line[:30]))
-            await watch.drain()
-            watch.write(chunk(line[30:] + news(entry("h2", it.host.address))))
-            assert await next_list(it) == (ListKind.DELTA, ["h1 ready"])
-            assert await next_list(it) == (ListKind.DELTA, ["h2 ready"])
-
-    run(test())
+async def test_a_watch_starts_from_the_cached_index_and_brings_changes() -> None:
+    async with gateway() as it:
+        assert await next_list(it) == (ListKind.CACHED, ["h0 ready"])
+        first, watch = await it.registry.watches.get()
+        assert first == "GET /registry/instances?stream=1&index=7 HTTP/1.1"
+        h1 = entry("h1", it.host.address, since_ms=1_700_000_000_123, zone="b", weight=1.5, group=3, new=1)
+        watch.write(chunk(news(h1)) + chunk("\n"))
+        event = await it.event(EndpointListReceived)
+        assert event.kind is ListKind.DELTA
+        (server,) = event.endpoints
+        assert (server.zone, server.kind, server.group, server.weight) == (1, 0, 3, 1.5)
+        assert server.started_us == 1_700_000_000_123_000
+        watch.write(chunk(news(entry("h1", it.host.address, "left"))))
+        assert await next_list(it) == (ListKind.DELTA, ["h1 gone"])
+        watch.write(chunk(news(entry("h2", it.host.address), snapshot=True)))
+        assert await next_list(it) == (ListKind.COMPLETE, ["h2 ready"])
+        assert it.proxy.upstream.hosts[endpoint_id_of("h0")].draining  # the full list lacks it
+
+
+async def test_a_line_in_pieces_is_one_line() -> None:
+    async with watched() as (it, watch):
+        line = news(entry("h1", it.host.address))
+        watch.write(chunk(line[:30]))
+        await watch.drain()
+        watch.write(chunk(line[30:] + news(entry("h2", it.host.address))))
+        assert await next_list(it) == (ListKind.DELTA, ["h1 ready"])
+        assert await next_list(it) == (ListKind.DELTA, ["h2 ready"])
 
 
 BAD_ENTRIES: list[object] = [
@@ -105,51 +97,38 @@
 
 
 @pytest.mark.parametrize("bad", BAD_ENTRIES)
-def test_a_malformed_entry_is_skipped(bad: object, caplog: pytest.LogCaptureFixture) -> None:
-    async def test() -> None:
-        async with watched() as (it, watch):
-            watch.write(chunk(news(bad, entry("h2", it.host.address))))
-            assert await next_list(it) == (ListKind.DELTA, ["h2 ready"])
-            assert "skipped a list entry" in caplog.text
-
-    run(test())
+async def test_a_malformed_entry_is_skipped(bad: object, caplog: pytest.LogCaptureFixture) -> None:
+    async with watched() as (it, watch):
+        watch.write(chunk(news(bad, entry("h2", it.host.address))))
+        assert await next_list(it) == (ListKind.DELTA, ["h2 ready"])
+        assert "skipped a list entry" in caplog.text
 
 
 @pytest.mark.parametrize("bad", ["no json", "[]", '{"index":9}', '{"endpoints":{}}', "\xff"])
-def test_a_malformed_line_is_skipped(bad: str, caplog: pytest.LogCaptureFixture) -> None:
-    async def test() -> None:
-        async with watched() as (it, watch):
-            watch.write(chunk(bad + "\n") + chunk(news(entry("h2", it.host.address))))
-            assert await next_list(it) == (ListKind.DELTA, ["h2 ready"])
-            assert "skipped a message of discovery" in caplog.text
-
-    run(test())
+async def test_a_malformed_line_is_skipped(bad: str, caplog: pytest.LogCaptureFixture) -> None:
+    async with watched() as (it, watch):
+        watch.write(chunk(bad + "\n") + chunk(news(entry("h2", it.host.address))))
+        assert await next_list(it) == (ListKind.DELTA, ["h2 ready"])
+        assert "skipped a message of discovery" in caplog.text
 
 
 @pytest.mark.parametrize("end", [b"0\r\n\r\n", b"no chunk\r\n", b""])
-def test_a_watch_that_breaks_is_an_error_and_is_retried(end: bytes) -> None:
-    async def test() -> None:
-        async with watched() as (it, watch):
-            watch.write(chunk(news(index=12)) + end)
-            assert await next_list(it) == (ListKind.DELTA, [])
-            watch.close()
-            assert await next_list(it) == (ListKind.ERROR, [])
-            first, _ = await it.registry.watches.get()
-            assert "index=12" in first
-            assert it.proxy.upstream.hosts  # the old list stands
-
-    run(test())
-
-
-def test_a_silent_watch_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_watch_that_breaks_is_an_error_and_is_retried(end: bytes) -> None:
+    async with watched() as (it, watch):
+        watch.write(chunk(news(index=12)) + end)
+        assert await next_list(it) == (ListKind.DELTA, [])
+        watch.close()
+        assert await next_list(it) == (ListKind.ERROR, [])
+        first, _ = await it.registry.watches.get()
+        assert "index=12" in first
+        assert it.proxy.upstream.hosts  # the old list stands
+
+
+async def test_a_silent_watch_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery_call, "SILENCE_TIMEOUT_S", 0.05)
-
-    async def test() -> None:
-        async with watched() as (it, _):
-            assert await next_list(it) == (ListKind.ERROR, [])
-            await it.registry.watches.get()
-
-    run(test())
+    async with watched() as (it, _):
+        assert await next_list(it) == (ListKind.ERROR, [])
+        await it.registry.watches.get()
 
 
 def retry_waits_s(failures: int, settings: Settings) -> list[float]:
@@ -171,72 +150,58 @@
     )
 
 
-def test_discovery_that_is_down_is_an_error() -> None:
-    async def test() -> None:
-        async with gateway(discovery="127.0.0.1:1") as it:
-            await next_list(it)
-            assert await next_list(it) == (ListKind.ERROR, [])
-            assert await next_list(it) == (ListKind.ERROR, [])
-
-    run(test())
-
+async def test_discovery_that_is_down_is_an_error() -> None:
+    async with gateway(discovery="127.0.0.1:1") as it:
+        await next_list(it)
+        assert await next_list(it) == (ListKind.ERROR, [])
+        assert await next_list(it) == (ListKind.ERROR, [])
 
-def test_a_poll_reads_the_complete_list_once() -> None:
-    async def test() -> None:
-        async with gateway() as it:
-            await next_list(it)
-            it.registry.whole = news(entry("h3", it.host.address), snapshot=True).encode()
-            it.proxy.carry_out(PollEndpoints())
-            assert await next_list(it) == (ListKind.COMPLETE, ["h3 ready"])
-            it.registry.whole = b"no list"
-            it.proxy.carry_out(PollEndpoints())
-            assert await next_list(it) == (ListKind.ERROR, [])
 
-    run(test())
+async def test_a_poll_reads_the_complete_list_once() -> None:
+    async with gateway() as it:
+        await next_list(it)
+        it.registry.whole = news(entry("h3", it.host.address), snapshot=True).encode()
+        it.proxy.carry_out(PollEndpoints())
+        assert await next_list(it) == (ListKind.COMPLETE, ["h3 ready"])
+        it.registry.whole = b"no list"
+        it.proxy.carry_out(PollEndpoints())
+        assert await next_list(it) == (ListKind.ERROR, [])
 
 
-def test_a_pushed_list_is_watched_unasked_and_the_watch_is_reopened(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_pushed_list_is_watched_unasked_and_the_watch_is_reopened(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(discovery, "REOPEN_BACKOFF_S", 0.0)
+    async with watched(settings={**settings(), "membershipMode": "pushed"}) as (it, watch):
+        watch.close()
+        _, watch = await it.registry.watches.get()
+        watch.write(chunk(news(entry("h1", it.host.address))))
+        assert await next_list(it) == (ListKind.DELTA, ["h1 ready"])  # and no error in between
 
-    async def test() -> None:
-        async with watched(settings={**settings(), "membershipMode": "pushed"}) as (it, watch):
-            watch.close()
-            _, watch = await it.registry.watches.get()
-            watch.write(chunk(news(entry("h1", it.host.address))))
-            assert await next_list(it) == (ListKind.DELTA, ["h1 ready"])  # and no error in between
-
-    run(test())
-
-
-def test_an_address_that_changes_is_followed() -> None:
-    async def test() -> None:
-        async with watched() as (it, watch):
-            watch.write(chunk(news(entry("h0", "127.0.0.1:9"))))
-            await next_list(it)
-            host = it.proxy.upstream.hosts[endpoint_id_of("h0")]
-            assert host.address == ("127.0.0.1", 9)
-            watch.write(chunk(news(entry("h0", it.host.address, "leaving"))))
-            assert await next_list(it) == (ListKind.DELTA, [f"h0 {EndpointStatus.DRAINING.value}"])
-            assert host.draining
-
-    run(test())
 
+async def test_an_address_that_changes_is_followed() -> None:
+    async with watched() as (it, watch):
+        watch.write(chunk(news(entry("h0", "127.0.0.1:9"))))
+        await next_list(it)
+        host = it.proxy.upstream.hosts[endpoint_id_of("h0")]
+        assert host.address == ("127.0.0.1", 9)
+        watch.write(chunk(news(entry("h0", it.host.address, "leaving"))))
+        assert await next_list(it) == (ListKind.DELTA, [f"h0 {EndpointStatus.DRAINING.value}"])
+        assert host.draining
 
-def test_a_changed_address_repeats_the_watch_and_the_poll_there() -> None:
-    async def test() -> None:
-        async with watched() as (it, old), other_registry() as elsewhere:
-            old.write(chunk(news(entry("h1", it.host.address), index=8)))
-            await next_list(it)
-            elsewhere.whole = news(entry("h3", it.host.address), index=9, snapshot=True).encode()
-            it.proxy.carry_out(PollEndpoints())
-            it.proxy.discovery.change_address(parse_address(elsewhere.address))
-            first, watch = await elsewhere.watches.get()
-            assert first == "GET /registry/instances?stream=1&index=8 HTTP/1.1"
-            assert await next_list(it) == (ListKind.COMPLETE, ["h3 ready"])
-            watch.write(chunk(news(entry("h2", it.host.address), index=10)))
-            assert await next_list(it) == (ListKind.DELTA, ["h2 ready"])
 
-    run(test())
+async def test_a_changed_address_repeats_the_watch_and_the_poll_there() -> None:
+    async with watched() as (it, old), other_registry() as elsewhere:
+        old.write(chunk(news(entry("h1", it.host.address), index=8)))
+        await next_list(it)
+        elsewhere.whole = news(entry("h3", it.host.address), index=9, snapshot=True).encode()
+        it.proxy.carry_out(PollEndpoints())
+        it.proxy.discovery.change_address(parse_address(elsewhere.address))
+        first, watch = await elsewhere.watches.get()
+        assert first == "GET /registry/instances?stream=1&index=8 HTTP/1.1"
+        assert await next_list(it) == (ListKind.COMPLETE, ["h3 ready"])
+        watch.write(chunk(news(entry("h2", it.host.address), index=10)))
+        assert await next_list(it) == (ListKind.DELTA, ["h2 ready"])
 
 
 class Piece(bytes):
@@ -263,140 +228,108 @@
     assert splitter.completed == 2
 
 
-def test_an_indented_list_is_one_message() -> None:
+async def test_an_indented_list_is_one_message() -> None:
     """Its lines are not messages of their own."""
-
-    async def test() -> None:
-        async with watched() as (it, watch):
-            whole = json.loads(news(entry("h1", it.host.address, note="} ["), entry("h2", it.host.address)))
-            for indent in (2, 0, "\t"):
-                text = json.dumps({**whole, "snapshot": True}, indent=indent) + "\n"
-                for part in (text[:40], text[40:90], text[90:]):
-                    watch.write(chunk(part))
-                assert await next_list(it) == (ListKind.COMPLETE, ["h1 ready", "h2 ready"])
-                watch.write(chunk("\n") + chunk(news(entry("h2", it.host.address, "leaving"))))
-                assert await next_list(it) == (ListKind.DELTA, ["h2 draining"])
-
-    run(test())
+    async with watched() as (it, watch):
+        whole = json.loads(news(entry("h1", it.host.address, note="} ["), entry("h2", it.host.address)))
+        for indent in (2, 0, "\t"):
+            text = json.dumps({**whole, "snapshot": True}, indent=indent) + "\n"
+            for part in (text[:40], text[40:90], text[90:]):
+                watch.write(chunk(part))
+            assert await next_list(it) == (ListKind.COMPLETE, ["h1 ready", "h2 ready"])
+            watch.write(chunk("\n") + chunk(news(entry("h2", it.host.address, "leaving"))))
+            assert await next_list(it) == (ListKind.DELTA, ["h2 draining"])
 
 
 @pytest.mark.parametrize("bad", ["{", '{"index": 9, "endpoints": [', "[[[", "}"])
-def test_a_truncated_message_does_not_cost_the_next(bad: str, caplog: pytest.LogCaptureFixture) -> None:
-    async def test() -> None:
-        async with watched() as (it, watch):
-            watch.write(chunk(bad + "\n") + chunk(news(entry("h2", it.host.address))))
-            assert await next_list(it) == (ListKind.DELTA, ["h2 ready"])
-            watch.write(chunk(bad + "\n") + chunk("\n"))
-            watch.write(chunk(json.dumps(json.loads(news(entry("h3", it.host.address))), indent=1) + "\n"))
-            assert await next_list(it) == (ListKind.DELTA, ["h3 ready"])
-            event_log.flush()  # the second within a second is counted
-            assert caplog.text.count("skipped a message of discovery") == 2
-
-    run(test())
-
-
-def test_a_list_over_the_size_limit_ends_its_watch(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_truncated_message_does_not_cost_the_next(bad: str, caplog: pytest.LogCaptureFixture) -> None:
+    async with watched() as (it, watch):
+        watch.write(chunk(bad + "\n") + chunk(news(entry("h2", it.host.address))))
+        assert await next_list(it) == (ListKind.DELTA, ["h2 ready"])
+        watch.write(chunk(bad + "\n") + chunk("\n"))
+        watch.write(chunk(json.dumps(json.loads(news(entry("h3", it.host.address))), indent=1) + "\n"))
+        assert await next_list(it) == (ListKind.DELTA, ["h3 ready"])
+        event_log.flush()  # the second within a second is counted
+        assert caplog.text.count("skipped a message of discovery") == 2
+
+
+async def test_a_list_over_the_size_limit_ends_its_watch(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery_call, "MAX_MESSAGE_BYTES", 2_000)
+    async with watched() as (it, watch):
+        watch.write(chunk("{\n" + "x" * 1_000 + "\n") + chunk("x" * 1_000))
+        assert await next_list(it) == (ListKind.ERROR, [])
 
-    async def test() -> None:
-        async with watched() as (it, watch):
-            watch.write(chunk("{\n" + "x" * 1_000 + "\n") + chunk("x" * 1_000))
-            assert await next_list(it) == (ListKind.ERROR, [])
-
-    run(test())
 
-
-def test_a_complete_list_keeps_endpoints_whose_entries_cannot_be_read() -> None:
+async def test_a_complete_list_keeps_endpoints_whose_entries_cannot_be_read() -> None:
     """An endpoint is not gone because its entry cannot be read."""
-
-    async def test() -> None:
-        async with watched(hosts=2) as (it, watch):
-            listed = [entry("h0", "nowhere"), entry("h2", it.host.address), entry("h3", "nowhere")]
-            watch.write(chunk(news(*listed, snapshot=True)))
-            assert await next_list(it) == (ListKind.COMPLETE, ["h0 ready", "h2 ready"])
-            hosts = it.proxy.upstream.hosts
-            assert [hosts[endpoint_id_of(f"h{n}")].draining for n in range(3)] == [False, True, False]
-
-    run(test())
+    async with watched(hosts=2) as (it, watch):
+        listed = [entry("h0", "nowhere"), entry("h2", it.host.address), entry("h3", "nowhere")]
+        watch.write(chunk(news(*listed, snapshot=True)))
+        assert await next_list(it) == (ListKind.COMPLETE, ["h0 ready", "h2 ready"])
+        hosts = it.proxy.upstream.hosts
+        assert [hosts[endpoint_id_of(f"h{n}")].draining for n in range(3)] == [False, True, False]
 
 
 @pytest.mark.parametrize("listed", [[], [7, {}], [entry("h7", "nowhere")]])
-def test_a_complete_list_without_readable_entries_is_ignored(
+async def test_a_complete_list_without_readable_entries_is_ignored(
     listed: list[object], caplog: pytest.LogCaptureFixture
 ) -> None:
-    async def test() -> None:
-        async with watched() as (it, watch):
-            watch.write(chunk(news(*listed, snapshot=True)))
-            watch.write(chunk(news(entry("h2", it.host.address))))
-            assert await next_list(it) == (ListKind.DELTA, ["h2 ready"])
-            assert "a complete list without an endpoint" in caplog.text
-            await it.served(await it.client())
-
-    run(test())
+    async with watched() as (it, watch):
+        watch.write(chunk(news(*listed, snapshot=True)))
+        watch.write(chunk(news(entry("h2", it.host.address))))
+        assert await next_list(it) == (ListKind.DELTA, ["h2 ready"])
+        assert "a complete list without an endpoint" in caplog.text
+        await it.served(await it.client())
 
 
-def test_a_changed_address_is_asked_at_once_while_a_failed_call_backs_off() -> None:
+async def test_a_changed_address_is_asked_at_once_while_a_failed_call_backs_off() -> None:
     """The retry may be 4 s off, which is all the time until a change must be known."""
+    changed = settings()
+    changed["contract"] = {"mustAskInUs": 4_000_000_000, "stopSendingWithinUs": 0}
+    async with gateway(discovery="127.0.0.1:1", settings=changed) as it:
+        await next_list(it)
+        it.proxy.discovery.set_subscribed(True)
+        assert await next_list(it) == (ListKind.ERROR, [])
+        it.proxy.discovery.change_address(parse_address(it.registry.address))
+        _, watch = await it.registry.watches.get()
+        it.proxy.carry_out(SubscribeEndpoints())  # the repeat finds the watch open
+        watch.write(chunk(news(entry("h1", it.host.address))))
+        assert await next_list(it) == (ListKind.DELTA, ["h1 ready"])
+        assert it.registry.connections == 1
 
-    async def test() -> None:
-        changed = settings()
-        changed["contract"] = {"mustAskInUs": 4_000_000_000, "stopSendingWithinUs": 0}
-        async with gateway(discovery="127.0.0.1:1", settings=changed) as it:
-            await next_list(it)
-            it.proxy.discovery.set_subscribed(True)
-            assert await next_list(it) == (ListKind.ERROR, [])
-            it.proxy.discovery.change_address(parse_address(it.registry.address))
-            _, watch = await it.registry.watches.get()
-            it.proxy.carry_out(SubscribeEndpoints())  # the repeat finds the watch open
-            watch.write(chunk(news(entry("h1", it.host.address))))
-            assert await next_list(it) == (ListKind.DELTA, ["h1 ready"])
-            assert it.registry.connections == 1
-
-    run(test())
-
-
-def test_messages_of_the_old_address_are_ignored() -> None:
-    async def test() -> None:
-        async with watched() as (it, old), other_registry() as elsewhere:
-            send_now(old, chunk(news(entry("h9", it.host.address))))
-            it.proxy.discovery.change_address(parse_address(elsewhere.address))
-            _, watch = await elsewhere.watches.get()
-            watch.write(chunk(news(entry("h2", it.host.address))))
-            assert await next_list(it) == (ListKind.DELTA, ["h2 ready"])
 
-    run(test())
+async def test_messages_of_the_old_address_are_ignored() -> None:
+    async with watched() as (it, old), other_registry() as elsewhere:
+        send_now(old, chunk(news(entry("h9", it.host.address))))
+        it.proxy.discovery.change_address(parse_address(elsewhere.address))
+        _, watch = await elsewhere.watches.get()
+        watch.write(chunk(news(entry("h2", it.host.address))))
+        assert await next_list(it) == (ListKind.DELTA, ["h2 ready"])
 
 
-def test_an_invalid_address_is_an_error_and_is_retried() -> None:
+async def test_an_invalid_address_is_an_error_and_is_retried() -> None:
     """Resolving it raises another error than OSError."""
-
-    async def test() -> None:
-        async with watched() as (it, _):
-            it.proxy.discovery.change_address(("a..b", 80))
-            assert await next_list(it) == (ListKind.ERROR, [])
-            it.proxy.discovery.change_address(parse_address(it.registry.address))
-            await it.registry.watches.get()
-
-    run(test())
-
-
-def test_a_watch_cut_in_mid_line_resumes_after_the_last_complete_one() -> None:
-    async def test() -> None:
-        async with watched() as (it, watch):
-            watch.write(chunk(news(index=12)) + chunk(news(entry("h1", it.host.address), index=13)[:30]))
-            assert await next_list(it) == (ListKind.DELTA, [])
-            watch.transport.abort()
-            assert await next_list(it) == (ListKind.ERROR, [])
-            first, watch = await it.registry.watches.get()
-            assert "index=12" in first
-            # An index that runs backwards is asked from again: more comes than is new, and never less.
-            watch.write(chunk(news(entry("h2", it.host.address), index=5)))
-            assert await next_list(it) == (ListKind.DELTA, ["h2 ready"])
-            watch.transport.abort()
-            assert await next_list(it) == (ListKind.ERROR, [])
-            assert "index=5" in (await it.registry.watches.get())[0]
-
-    run(test())
+    async with watched() as (it, _):
+        it.proxy.discovery.change_address(("a..b", 80))
+        assert await next_list(it) == (ListKind.ERROR, [])
+        it.proxy.discovery.change_address(parse_address(it.registry.address))
+        await it.registry.watches.get()
+
+
+async def test_a_watch_cut_in_mid_line_resumes_after_the_last_complete_one() -> None:
+    async with watched() as (it, watch):
+        watch.write(chunk(news(index=12)) + chunk(news(entry("h1", it.host.address), index=13)[:30]))
+        assert await next_list(it) == (ListKind.DELTA, [])
+        watch.transport.abort()
+        assert await next_list(it) == (ListKind.ERROR, [])
+        first, watch = await it.registry.watches.get()
+        assert "index=12" in first
+        # An index that runs backwards is asked from again: more comes than is new, and never less.
+        watch.write(chunk(news(entry("h2", it.host.address), index=5)))
+        assert await next_list(it) == (ListKind.DELTA, ["h2 ready"])
+        watch.transport.abort()
+        assert await next_list(it) == (ListKind.ERROR, [])
+        assert "index=5" in (await it.registry.watches.get())[0]
 
 
 def test_a_pushed_list_is_reopened_long_before_a_drain_must_be_applied() -> None:
--- a/tests/gateway/test_event_log.py
+++ b/tests/gateway/test_event_log.py
@@ -210,42 +210,38 @@
     assert json.loads(line)["event"] == "config.invalid"
 
 
-def test_an_event_of_a_request_names_it(caplog: pytest.LogCaptureFixture) -> None:
+async def test_an_event_of_a_request_names_it(caplog: pytest.LogCaptureFixture) -> None:
     """With its class and tenant by name, and the endpoint by address; suppressed lines are counted."""
-
-    async def test() -> None:
-        async with gateway(settings={**settings(), "tenants": [{"name": "acme"}, {"name": "zeta"}]}) as it:
-            (server,) = it.proxy.upstream.hosts
-            send: Any = Send
-            it.proxy.balancer.unsaid = 3
-            handle = it.proxy.balancer.handle
-
-            def broken(now_us: int, event: Event) -> list[Action]:
-                if isinstance(event, RequestArrived):
-                    fields = (("endpoint_id", server), ("request_class", 0), ("tenant", 1))
-                    return [
-                        LogEvent("circuit_breaker.changed", (*fields, ("state", "open"))),
-                        send("1", server, "no number"),
-                    ]
-                return handle(now_us, event)
-
-            it.proxy.balancer.handle = broken  # type: ignore[method-assign]
-            assert (await (await it.client()).ask(ask(Tenant="zeta")))[0] == 500
-            it.proxy.sweep()
-            logged: list[Any] = [record.msg for record in caplog.records if record.name == "load_balancer"]
-            breaker, failed, suppressed = (
-                event for event in logged if not event["event"].startswith("discovery")
-            )
-            about = {
-                "request_class": it.proxy.config.names.classes[0],
-                "tenant": "zeta",
-                "endpoint_id": server,
-            }
-            about["address"] = it.host.address
-            assert breaker == about | {"event": "circuit_breaker.changed", "state": "open"}
-            assert failed.items() >= (about | {"event": "action.failed", "request_id": "1"}).items()
-            assert suppressed == {"event": "balancer.suppressed", "suppressed": 3}
-            assert not it.proxy.balancer.unsaid
-
     caplog.set_level(logging.INFO)
-    run(test())
+    async with gateway(settings={**settings(), "tenants": [{"name": "acme"}, {"name": "zeta"}]}) as it:
+        (server,) = it.proxy.upstream.hosts
+        send: Any = Send
+        it.proxy.balancer.unsaid = 3
+        handle = it.proxy.balancer.handle
+
+        def broken(now_us: int, event: Event) -> list[Action]:
+            if isinstance(event, RequestArrived):
+                fields = (("endpoint_id", server), ("request_class", 0), ("tenant", 1))
+                return [
+                    LogEvent("circuit_breaker.changed", (*fields, ("state", "open"))),
+                    send("1", server, "no number"),
+                ]
+            return handle(now_us, event)
+
+        it.proxy.balancer.handle = broken  # type: ignore[method-assign]
+        assert (await (await it.client()).ask(ask(Tenant="zeta")))[0] == 500
+        it.proxy.sweep()
+        logged: list[Any] = [record.msg for record in caplog.records if record.name == "load_balancer"]
+        breaker, failed, suppressed = (
+            event for event in logged if not event["event"].startswith("discovery")
+        )
+        about = {
+            "request_class": it.proxy.config.names.classes[0],
+            "tenant": "zeta",
+            "endpoint_id": server,
+        }
+        about["address"] = it.host.address
+        assert breaker == about | {"event": "circuit_breaker.changed", "state": "open"}
+        assert failed.items() >= (about | {"event": "action.failed", "request_id": "1"}).items()
+        assert suppressed == {"event": "balancer.suppressed", "suppressed": 3}
+        assert not it.proxy.balancer.unsaid
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -37,7 +37,6 @@
     entry,
     gateway,
     news,
-    run,
     settings,
     until,
 )
@@ -133,31 +132,27 @@
         assert len(done.stderr.splitlines()) == 1
 
 
-def test_no_collection_visits_the_endpoints_cached_at_the_start(
+async def test_no_collection_visits_the_endpoints_cached_at_the_start(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Else every full collection would, while requests wait."""
+    path, listens = tmp_path / "config.json", asyncio.Event()
+    path.write_text(json.dumps(configuration({"h0": "127.0.0.1:1"}, "127.0.0.1:1")))
 
-    async def test() -> None:
-        path, listens = tmp_path / "config.json", asyncio.Event()
-        path.write_text(json.dumps(configuration({"h0": "127.0.0.1:1"}, "127.0.0.1:1")))
+    async def start(_: ClientServer) -> None:
+        listens.set()
 
-        async def start(_: ClientServer) -> None:
-            listens.set()
-
-        monkeypatch.setattr(ClientServer, "start", start)
-        serving = asyncio.create_task(serve(load_config({"ROUTER_CONFIG": str(path)})))
-        await listens.wait()
-        visited = [
-            known
-            for known in gc.get_objects()
-            if isinstance(known, DiscoveredEndpoint | upstream_pool.EndpointPool)
-        ]
-        gc.unfreeze()
-        serving.cancel()
-        assert not visited
-
-    run(test())
+    monkeypatch.setattr(ClientServer, "start", start)
+    serving = asyncio.create_task(serve(load_config({"ROUTER_CONFIG": str(path)})))
+    await listens.wait()
+    visited = [
+        known
+        for known in gc.get_objects()
+        if isinstance(known, DiscoveredEndpoint | upstream_pool.EndpointPool)
+    ]
+    gc.unfreeze()
+    serving.cancel()
+    assert not visited
 
 
 def test_an_address_in_use_is_one_line_and_a_failure(tmp_path: Path) -> None:
@@ -222,284 +217,243 @@
         registry.stop()
 
 
-def test_sigterm_answers_accepted_requests_and_exits_with_zero(tmp_path: Path) -> None:
-    async def test() -> None:
-        host = StubEndpoint()
-        async with process(host, tmp_path) as (child, port):
-            held = await connect(port)
-            assert (await held.ask(b"GET /health/ready HTTP/1.1\r\n\r\n"))[0] == 200
-            held.send(ask())
-            taken = await host.taken.get()
-            idle = await connect(port)
-            child.send_signal(signal.SIGTERM)
-            assert await idle.closed()  # and so the signal has been handled
-            taken.answer()
-            await expect_last_answer(held)
-            assert await child.wait() == 0
+async def test_sigterm_answers_accepted_requests_and_exits_with_zero(tmp_path: Path) -> None:
+    host = StubEndpoint()
+    async with process(host, tmp_path) as (child, port):
+        held = await connect(port)
+        assert (await held.ask(b"GET /health/ready HTTP/1.1\r\n\r\n"))[0] == 200
+        held.send(ask())
+        taken = await host.taken.get()
+        idle = await connect(port)
+        child.send_signal(signal.SIGTERM)
+        assert await idle.closed()  # and so the signal has been handled
+        taken.answer()
+        await expect_last_answer(held)
+        assert await child.wait() == 0
 
-    run(test())
 
-
-def test_sighup_applies_a_changed_address_of_discovery(tmp_path: Path) -> None:
+async def test_sighup_applies_a_changed_address_of_discovery(tmp_path: Path) -> None:
     """ROUTER_DISCOVERY, which is as old as the process, does not override the new file."""
-
-    async def test() -> None:
-        host, first, second = StubEndpoint(), Registry(), Registry()
-        await first.start()
-        await second.start()
-        path = tmp_path / "config.json"
-        async with process(host, tmp_path, ROUTER_DISCOVERY=first.address) as (child, port):
-            await first.watches.get()
-            good = path.read_text()
-            path.write_text("{")
-            child.send_signal(signal.SIGHUP)
-            assert child.stderr is not None
-            assert b"rejected the new" in await child.stderr.readline()
-            path.write_text(json.dumps({**json.loads(good), "discovery": second.address}))
-            child.send_signal(signal.SIGHUP)
-            await second.watches.get()
-            client = await connect(port)
-            client.send(ask())
-            (await host.taken.get()).answer()
-            assert (await client.answer())[0] == 200
-            assert child.returncode is None
-        first.stop()
-        second.stop()
-
-    run(test())
+    host, first, second = StubEndpoint(), Registry(), Registry()
+    await first.start()
+    await second.start()
+    path = tmp_path / "config.json"
+    async with process(host, tmp_path, ROUTER_DISCOVERY=first.address) as (child, port):
+        await first.watches.get()
+        good = path.read_text()
+        path.write_text("{")
+        child.send_signal(signal.SIGHUP)
+        assert child.stderr is not None
+        assert b"rejected the new" in await child.stderr.readline()
+        path.write_text(json.dumps({**json.loads(good), "discovery": second.address}))
+        child.send_signal(signal.SIGHUP)
+        await second.watches.get()
+        client = await connect(port)
+        client.send(ask())
+        (await host.taken.get()).answer()
+        assert (await client.answer())[0] == 200
+        assert child.returncode is None
+    first.stop()
+    second.stop()
 
 
 @pytest.mark.parametrize(("number", "code"), [(signal.SIGHUP, None), (signal.SIGTERM, -signal.SIGTERM)])
-def test_signals_before_it_is_ready(number: signal.Signals, code: int | None, tmp_path: Path) -> None:
+async def test_signals_before_it_is_ready(number: signal.Signals, code: int | None, tmp_path: Path) -> None:
     """SIGHUP must not end the process before its loop runs. SIGTERM may: no request has been accepted."""
-
-    async def test() -> None:
-        path = tmp_path / "config"
-        os.mkfifo(path)  # holds the process while it reads its configuration
-        child, stderr = await start_process(path)
-        loop = asyncio.get_running_loop()
-        with await loop.run_in_executor(None, path.open, "w") as config:
-            child.send_signal(number)
-            if code is None:
-                config.write(json.dumps(configuration({}, "127.0.0.1:1")))
+    path = tmp_path / "config"
+    os.mkfifo(path)  # holds the process while it reads its configuration
+    child, stderr = await start_process(path)
+    loop = asyncio.get_running_loop()
+    with await loop.run_in_executor(None, path.open, "w") as config:
+        child.send_signal(number)
         if code is None:
-            while b"listens" not in await stderr.readline():
-                assert not stderr.at_eof()
-            child.send_signal(signal.SIGTERM)
-        assert await child.wait() == (code or 0)
-
-    run(test())
-
-
-def test_repeated_signals_lose_no_request(tmp_path: Path) -> None:
-    async def test() -> None:
-        host = StubEndpoint()
-        async with process(host, tmp_path) as (child, port):
-            held = await connect(port)
-            held.send(ask("buy"))
-            taken = await host.taken.get()
-            idle = await connect(port)
-            for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
-                child.send_signal(number)
-            assert await idle.closed()
-            child.send_signal(signal.SIGTERM)
-            child.send_signal(signal.SIGHUP)
-            taken.answer()
-            await expect_last_answer(held)
-            held.writer.close()
-            assert await child.wait() == 0
-
-    run(test())
-
-
-def test_a_hung_endpoint_and_a_short_deadline_do_not_delay_the_shutdown(tmp_path: Path) -> None:
-    async def test() -> None:
-        host = StubEndpoint()
-        async with process(host, tmp_path) as (child, port):
-            hung = await connect(port)
-            hung.send(ask("buy", Request_Timeout_Ms="900"))
-            await host.taken.get()
-            child.send_signal(signal.SIGTERM)
-            await expect_last_answer(hung, status=502)
-            hung.writer.close()
-            assert await child.wait() == 0
-
-    run(test())
-
-
-def test_requests_that_come_during_a_drain_are_served(monkeypatch: pytest.MonkeyPatch) -> None:
+            config.write(json.dumps(configuration({}, "127.0.0.1:1")))
+    if code is None:
+        while b"listens" not in await stderr.readline():
+            assert not stderr.at_eof()
+        child.send_signal(signal.SIGTERM)
+    assert await child.wait() == (code or 0)
+
+
+async def test_repeated_signals_lose_no_request(tmp_path: Path) -> None:
+    host = StubEndpoint()
+    async with process(host, tmp_path) as (child, port):
+        held = await connect(port)
+        held.send(ask("buy"))
+        taken = await host.taken.get()
+        idle = await connect(port)
+        for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
+            child.send_signal(number)
+        assert await idle.closed()
+        child.send_signal(signal.SIGTERM)
+        child.send_signal(signal.SIGHUP)
+        taken.answer()
+        await expect_last_answer(held)
+        held.writer.close()
+        assert await child.wait() == 0
+
+
+async def test_a_hung_endpoint_and_a_short_deadline_do_not_delay_the_shutdown(tmp_path: Path) -> None:
+    host = StubEndpoint()
+    async with process(host, tmp_path) as (child, port):
+        hung = await connect(port)
+        hung.send(ask("buy", Request_Timeout_Ms="900"))
+        await host.taken.get()
+        child.send_signal(signal.SIGTERM)
+        await expect_last_answer(hung, status=502)
+        hung.writer.close()
+        assert await child.wait() == 0
+
+
+async def test_requests_that_come_during_a_drain_are_served(monkeypatch: pytest.MonkeyPatch) -> None:
     """Clients go on sending for a moment, on new connections and on those that they have."""
     monkeypatch.setattr(client_server, "HALF_SENT_DRAIN_S", PATIENCE_S)
+    async with gateway() as it:
+        idle = await it.client()
+        await it.served(idle)
+        it.downstream.draining = True
+        late = await it.client()
+        assert (await (await it.client()).ask(b"GET /health/ready HTTP/1.1\r\n\r\n"))[0] == 503
+        late.send(ask())
+        taken = await it.host.taken.get()
+        idle.send(ask()[:20])
+        await until(lambda: any(connection.reading for connection in it.downstream.connections))
+        it.downstream.stop_listening()
+        finish = asyncio.create_task(it.downstream.finish())
+        taken.answer()
+        for client in (late, idle):
+            await expect_last_answer(client)
+            if client is late:
+                idle.send(ask()[20:])
+                (await it.host.taken.get()).answer()
+        await finish
+
 
-    async def test() -> None:
-        async with gateway() as it:
-            idle = await it.client()
-            await it.served(idle)
-            it.downstream.draining = True
-            late = await it.client()
-            assert (await (await it.client()).ask(b"GET /health/ready HTTP/1.1\r\n\r\n"))[0] == 503
-            late.send(ask())
-            taken = await it.host.taken.get()
-            idle.send(ask()[:20])
-            await until(lambda: any(connection.reading for connection in it.downstream.connections))
-            it.downstream.stop_listening()
-            finish = asyncio.create_task(it.downstream.finish())
-            taken.answer()
-            for client in (late, idle):
-                await expect_last_answer(client)
-                if client is late:
-                    idle.send(ask()[20:])
-                    (await it.host.taken.get()).answer()
-            await finish
-
-    run(test())
-
-
-def test_a_request_in_the_accept_queue_as_the_listener_closes_is_served(
+async def test_a_request_in_the_accept_queue_as_the_listener_closes_is_served(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Closing the listener would reset a connection that it has not accepted yet."""
     monkeypatch.setattr(client_server, "LAST_ACCEPT_S", 0.0)
     monkeypatch.setattr(client_server, "LAST_REQUEST_S", 0.0)
-
-    async def test() -> None:
-        async with gateway() as it:
-            assert it.downstream.listener is not None
-            address = it.downstream.listener.sockets[0].getsockname()
-            drain = it.downstream.drain()
-            drain.send(None)  # now it waits for the end of accepting
-            queued = socket.create_connection(address)
-            queued.send(ask())
-            drain.send(None)  # which comes in this turn of the loop: it has accepted nothing since
-            end = asyncio.create_task(drain)
-            client = Client(*await asyncio.open_connection(sock=queued))
-            (await it.host.taken.get()).answer()
-            await expect_last_answer(client)
-            client.writer.close()
-            await end
-
-    run(test())
-
-
-def test_pipelined_requests_are_answered_before_a_drain_closes() -> None:
-    async def test() -> None:
-        async with gateway() as it:
-            client = await it.client()
-            client.send(ask() + ask())
-            taken = await it.host.taken.get()
-            it.downstream.draining = True
-            taken.answer()
-            assert (await client.answer())[0] == 200
-            (await it.host.taken.get()).answer()
-            await expect_last_answer(client)
-
-    run(test())
-
-
-def test_a_client_that_reads_nothing_does_not_delay_the_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
+    async with gateway() as it:
+        assert it.downstream.listener is not None
+        address = it.downstream.listener.sockets[0].getsockname()
+        drain = it.downstream.drain()
+        drain.send(None)  # now it waits for the end of accepting
+        queued = socket.create_connection(address)
+        queued.send(ask())
+        drain.send(None)  # which comes in this turn of the loop: it has accepted nothing since
+        end = asyncio.create_task(drain)
+        client = Client(*await asyncio.open_connection(sock=queued))
+        (await it.host.taken.get()).answer()
+        await expect_last_answer(client)
+        client.writer.close()
+        await end
+
+
+async def test_pipelined_requests_are_answered_before_a_drain_closes() -> None:
+    async with gateway() as it:
+        client = await it.client()
+        client.send(ask() + ask())
+        taken = await it.host.taken.get()
+        it.downstream.draining = True
+        taken.answer()
+        assert (await client.answer())[0] == 200
+        (await it.host.taken.get()).answer()
+        await expect_last_answer(client)
+
+
+async def test_a_client_that_reads_nothing_does_not_delay_the_shutdown(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(client_server, "UNREAD_DRAIN_S", 0.0)
-
-    async def test() -> None:
-        async with gateway() as it:
-            client = await it.client()
-            client.send(ask())
-            taken = await it.host.taken.get()
-            connection = it.stop_reading(client)
-            assert connection.transport is not None
-            it.downstream.draining = True
-            taken.answer(body=bytes(60_000))
-            await it.event(AttemptEnded)
-            assert connection.transport.get_write_buffer_size() > 0
-            await it.downstream.finish()
+    async with gateway() as it:
+        client = await it.client()
+        client.send(ask())
+        taken = await it.host.taken.get()
+        connection = it.stop_reading(client)
+        assert connection.transport is not None
+        it.downstream.draining = True
+        taken.answer(body=bytes(60_000))
+        await it.event(AttemptEnded)
+        assert connection.transport.get_write_buffer_size() > 0
+        await it.downstream.finish()
+        client.writer.transport.abort()
+
+
+async def test_idle_clients_leave_descriptors_for_discovery_endpoints_and_readiness(tmp_path: Path) -> None:
+    host, other, discovery = StubEndpoint(), StubEndpoint(), Registry()
+    await other.start()
+    where, sockets = discovery.bind(), 256
+    async with process(host, tmp_path, sockets, ROUTER_DISCOVERY=where) as (child, port):
+
+        async def connect_within_limit() -> Client:
+            client = await connect(port)
+            assert len(os.listdir(f"/proc/{child.pid}/fd")) < sockets
+            return client
+
+        async def is_ready() -> bool:
+            return (await (await connect_within_limit()).ask(b"GET /health/ready HTTP/1.1\r\n\r\n"))[0] == 200
+
+        held = [await connect_within_limit() for _ in range(3)]
+        for client in held:
+            client.send(ask("buy"))
+        taken = [await host.taken.get() for _ in held]
+        idle = []
+        for number in range(sockets + 50):
+            idle.append(await connect_within_limit())
+            assert number % 10 or await is_ready()
+        await discovery.start()
+        _, watch = await discovery.watches.get()
+        watch.write(chunk(news(entry("h1", other.address), index=8, snapshot=True)))
+        assert await is_ready()
+        for request in taken:
+            request.answer()
+        for client in held:
+            assert (await client.answer())[0] == 200
+            client.send(ask("buy"))
+            (await other.taken.get()).answer()
+            assert (await client.answer())[0] == 200
+        for client in idle:
             client.writer.transport.abort()
-
-    run(test())
-
-
-def test_idle_clients_leave_descriptors_for_discovery_endpoints_and_readiness(tmp_path: Path) -> None:
-    async def test() -> None:
-        host, other, discovery = StubEndpoint(), StubEndpoint(), Registry()
-        await other.start()
-        where, sockets = discovery.bind(), 256
-        async with process(host, tmp_path, sockets, ROUTER_DISCOVERY=where) as (child, port):
-
-            async def connect_within_limit() -> Client:
-                client = await connect(port)
-                assert len(os.listdir(f"/proc/{child.pid}/fd")) < sockets
-                return client
-
-            async def is_ready() -> bool:
-                return (await (await connect_within_limit()).ask(b"GET /health/ready HTTP/1.1\r\n\r\n"))[
-                    0
-                ] == 200
-
-            held = [await connect_within_limit() for _ in range(3)]
-            for client in held:
-                client.send(ask("buy"))
-            taken = [await host.taken.get() for _ in held]
-            idle = []
-            for number in range(sockets + 50):
-                idle.append(await connect_within_limit())
-                assert number % 10 or await is_ready()
-            await discovery.start()
-            _, watch = await discovery.watches.get()
-            watch.write(chunk(news(entry("h1", other.address), index=8, snapshot=True)))
-            assert await is_ready()
-            for request in taken:
-                request.answer()
-            for client in held:
-                assert (await client.answer())[0] == 200
-                client.send(ask("buy"))
-                (await other.taken.get()).answer()
-                assert (await client.answer())[0] == 200
-            for client in idle:
-                client.writer.transport.abort()
-        other.stop()
-        discovery.stop()
-
-    run(test())
-
-
-def test_an_idle_connection_does_not_delay_the_shutdown(tmp_path: Path) -> None:
-    async def test() -> None:
-        async with process(StubEndpoint(), tmp_path) as (child, port):
-            idle = await connect(port)
-            half = await connect(port)
-            half.send(ask()[:20])
-            child.send_signal(signal.SIGTERM)
-            assert await idle.closed()
-            assert await child.wait() == 0
-
-    run(test())
-
-
-def test_messages_between_gateways() -> None:
-    async def test() -> None:
-        with (
-            socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer,
-            socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger,
-        ):
-            for each in (peer, stranger):
-                each.bind(("127.0.0.1", 0))
-                each.setblocking(False)
-            address = f"127.0.0.1:{peer.getsockname()[1]}"
-            async with gateway(
-                settings={**settings(peers=True), "balancers": 2},
-                peer_listen="127.0.0.1:0",
-                peers=["127.0.0.1:1", address],
-                peers_all=address,
-            ) as it:
-                loop = asyncio.get_running_loop()
-                for message in (SendPeerMessage(b"to one", 1), SendPeerMessage(b"to all")):
-                    it.proxy.carry_out(message)
-                    assert await loop.sock_recv(peer, 512) == message.data
-                with pytest.raises(ValueError, match="too long"):
-                    it.proxy.carry_out(SendPeerMessage(bytes(257)))
-                assert it.proxy.peers is not None
-                to = it.proxy.peers.get_extra_info("sockname")
-                stranger.sendto(b"from nobody", to)
-                peer.sendto(b"hello", to)
-                heard = await it.event(PeerMessageReceived)
-                assert (heard.gateway_index, heard.data) == (1, b"hello")
-
-    run(test())
+    other.stop()
+    discovery.stop()
+
+
+async def test_an_idle_connection_does_not_delay_the_shutdown(tmp_path: Path) -> None:
+    async with process(StubEndpoint(), tmp_path) as (child, port):
+        idle = await connect(port)
+        half = await connect(port)
+        half.send(ask()[:20])
+        child.send_signal(signal.SIGTERM)
+        assert await idle.closed()
+        assert await child.wait() == 0
+
+
+async def test_messages_between_gateways() -> None:
+    with (
+        socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer,
+        socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger,
+    ):
+        for each in (peer, stranger):
+            each.bind(("127.0.0.1", 0))
+            each.setblocking(False)
+        address = f"127.0.0.1:{peer.getsockname()[1]}"
+        async with gateway(
+            settings={**settings(peers=True), "balancers": 2},
+            peer_listen="127.0.0.1:0",
+            peers=["127.0.0.1:1", address],
+            peers_all=address,
+        ) as it:
+            loop = asyncio.get_running_loop()
+            for message in (SendPeerMessage(b"to one", 1), SendPeerMessage(b"to all")):
+                it.proxy.carry_out(message)
+                assert await loop.sock_recv(peer, 512) == message.data
+            with pytest.raises(ValueError, match="too long"):
+                it.proxy.carry_out(SendPeerMessage(bytes(257)))
+            assert it.proxy.peers is not None
+            to = it.proxy.peers.get_extra_info("sockname")
+            stranger.sendto(b"from nobody", to)
+            peer.sendto(b"hello", to)
+            heard = await it.event(PeerMessageReceived)
+            assert (heard.gateway_index, heard.data) == (1, b"hello")
