--- a/tests/config/examples.py
+++ b/tests/config/examples.py
@@ -10,7 +10,7 @@
 
 from load_balancer.config.file import CONFIG_LIMIT, Config, load_config, read_steps
 from load_balancer.config.steps import run_to_completion
-from tests.gateway.test_process import INVALID_CONFIGURATIONS
+from tests.gateway.test_process_start import INVALID_CONFIGURATIONS
 from tests.sockets import entry
 
 EXAMPLE = Path(__file__).parent.parent.parent / "deploy" / "example.json"
