--- a/load_balancer/config/gateway_config.py
+++ b/load_balancer/config/gateway_config.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """Everything that a gateway is told at its start.
+    """Everything that a gateway is given at its start.
 
     Attributes:
         name: This gateway's name.
--- a/load_balancer/simulator/adapter.py
+++ b/load_balancer/simulator/adapter.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 import gc
+import io
 import sys
 from collections.abc import Callable
 from typing import TextIO
@@ -16,13 +17,13 @@
 from load_balancer.decisions.events import EndpointListReceived, Event
 from load_balancer.simulator.codec import (
     PARSERS,
-    Fields,
-    WireFormatError,
     format_action,
     parse_endpoint,
     parse_settings,
     split_line,
 )
+from load_balancer.simulator.errors import WireFormatError
+from load_balancer.simulator.fields import Fields, integer_field, term_field, text_field
 from load_balancer.simulator.vocabulary import LIST_KINDS, Field, Message, Reply
 
 MAX_REPORTED_LENGTH = 200  # characters of a bad line that are reported
@@ -64,7 +65,7 @@
             line = line.rstrip("\r\n")
             try:
                 self._read_line(line)
-            except (KeyError, ValueError) as error:
+            except (KeyError, ValueError) as error:  # also from decisions that cannot use an event
                 self._report(line, error)
 
     def _report(self, line: str, error: KeyError | ValueError) -> None:
@@ -96,7 +97,7 @@
         self._reply = []
         self._instance = ""
         self._reply_instance = ""
-        self._now_us = int(fields[Field.TIME_US])
+        self._now_us = integer_field(fields, Field.TIME_US)
 
     def _finish_batch(self) -> None:
         self._reply.append(f"{Reply.BATCH_ENDED}\n")
@@ -106,14 +107,15 @@
 
     def _select_instance(self, fields: Fields) -> None:
         self._instance = ""  # after a line without a name, events go to no instance
-        self._instance = fields[Field.INSTANCE]
+        self._instance = text_field(fields, Field.INSTANCE)
 
     def _start_instance(self, fields: Fields) -> None:
         self._balancers.pop(self._instance, None)
         if not self._instance:
             raise WireFormatError("launch outside any instance")
-        settings = parse_settings(fields[Field.SETTINGS])
-        self._balancers[self._instance] = Balancer(settings, int(fields[Field.SEED]))
+        settings = parse_settings(text_field(fields, Field.SETTINGS))
+        seed = integer_field(fields, Field.SEED)
+        self._balancers[self._instance] = Balancer(settings, seed)
 
     def _stop_instance(self, _fields: Fields) -> None:
         if self._balancers.pop(self._instance, None) is None:
@@ -121,19 +123,21 @@
 
     def _read_endpoint_table(self, fields: Fields) -> None:
         endpoints: list[Endpoint] = []
-        for _ in range(int(fields[Field.ENDPOINT_COUNT])):
+        for _ in range(integer_field(fields, Field.ENDPOINT_COUNT)):
             line = self._source.readline()
             self._line_number += 1
             line = line.rstrip("\r\n")
             try:
                 endpoints.append(_parse_endpoint_line(line))
-            except (KeyError, ValueError) as error:
+            except WireFormatError as error:
                 self._report(line, error)
-        self._endpoint_tables[fields[Field.TABLE]] = tuple(endpoints)
+        self._endpoint_tables[text_field(fields, Field.TABLE)] = tuple(endpoints)
 
     def _deliver_endpoint_list(self, fields: Fields) -> None:
-        kind = LIST_KINDS[fields[Field.LIST_KIND]]
-        endpoints = () if kind is ListKind.ERROR else self._endpoint_tables[fields[Field.TABLE]]
+        kind = term_field(fields, Field.LIST_KIND, LIST_KINDS)
+        endpoints: tuple[Endpoint, ...] = ()
+        if kind is not ListKind.ERROR:
+            endpoints = term_field(fields, Field.TABLE, self._endpoint_tables)
         self._deliver(EndpointListReceived(kind, endpoints))
 
     def _deliver(self, event: Event) -> None:
@@ -159,6 +163,7 @@
 def main() -> int:
     """Run the adapter on the standard streams; returns the exit code."""
     gc.freeze()  # what the imports made is never garbage
-    sys.stdin.reconfigure(encoding="utf-8", errors="replace", newline="\n")  # type: ignore[union-attr]
+    if isinstance(sys.stdin, io.TextIOWrapper):
+        sys.stdin.reconfigure(encoding="utf-8", errors="replace", newline="\n")
     SimulatorAdapter(sys.stdin, sys.stdout, sys.stderr).run()
     return 0
--- a/load_balancer/simulator/codec.py
+++ b/load_balancer/simulator/codec.py
@@ -5,7 +5,7 @@
 import base64
 import binascii
 import math
-from collections.abc import Callable, Mapping
+from collections.abc import Callable
 
 from msgspec import Raw
 
@@ -27,7 +27,7 @@
     StartHealthCheck,
     SubscribeEndpoints,
 )
-from load_balancer.decisions.endpoint import Endpoint
+from load_balancer.decisions.endpoint import Endpoint, EndpointStatus
 from load_balancer.decisions.events import (
     AttemptEnded,
     ClientDisconnected,
@@ -39,29 +39,31 @@
     TimerFired,
 )
 from load_balancer.decisions.settings import Settings
-from load_balancer.errors import LoadBalancerError, SettingsError
+from load_balancer.errors import SettingsError
 from load_balancer.load_report_format import parse_load_report
+from load_balancer.simulator.errors import WireFormatError
+from load_balancer.simulator.fields import (
+    Fields,
+    flag_field,
+    integer_field,
+    number_field,
+    optional_integer_field,
+    term_field,
+    text_field,
+)
 from load_balancer.simulator.vocabulary import (
     ALL_GATEWAYS,
-    DEFAULT_STATUS,
     ENDPOINT_STATUSES,
     NO_DATA,
     OUTCOMES,
-    TRUE,
     Field,
     Message,
     Reply,
 )
 
-Fields = Mapping[str, str]
-
 LAST_FIELD = {Message.INSTANCE_STARTED: Field.SETTINGS}  # a field that takes the rest of the line, spaces too
 
 
-class WireFormatError(LoadBalancerError, ValueError):
-    """A line that cannot be read; the message says why."""
-
-
 def split_line(line: str) -> tuple[str, dict[str, str]]:
     """Return the message name and the fields of a line.
 
@@ -102,76 +104,84 @@
 
 
 def parse_endpoint(fields: Fields) -> Endpoint:
-    """Return one entry of an endpoint list."""
-    weight = float(fields.get(Field.WEIGHT, "1"))
+    """Return one entry of an endpoint list.
+
+    Raises:
+        WireFormatError: A field is missing or cannot be read.
+    """
+    weight = number_field(fields, Field.WEIGHT, 1.0)
     if not 0.0 < weight < math.inf:
         raise WireFormatError(f"{Field.WEIGHT} is not a finite number above 0")
+    endpoint_id = integer_field(fields, Field.ENDPOINT)
+    status = EndpointStatus.READY
+    if Field.STATUS in fields:
+        status = term_field(fields, Field.STATUS, ENDPOINT_STATUSES)
     return Endpoint(
-        id=int(fields[Field.ENDPOINT]),
-        status=ENDPOINT_STATUSES[fields.get(Field.STATUS, DEFAULT_STATUS)],
+        id=endpoint_id,
+        status=status,
         weight=weight,
-        zone=int(fields.get(Field.ZONE, "0")),
-        group=int(fields.get(Field.GROUP, "0")),
-        kind=int(fields.get(Field.KIND, "0")),
-        started_us=int(fields.get(Field.STARTED_US, "0")),
+        zone=integer_field(fields, Field.ZONE, 0),
+        group=integer_field(fields, Field.GROUP, 0),
+        kind=integer_field(fields, Field.KIND, 0),
+        started_us=integer_field(fields, Field.STARTED_US, 0),
     )
 
 
 def _parse_request_arrived(fields: Fields) -> RequestArrived:
-    key = fields.get(Field.KEY)
-    work_us = fields.get(Field.WORK_US)
     return RequestArrived(
-        request_id=fields[Field.REQUEST_ID],
-        request_class=int(fields.get(Field.REQUEST_CLASS, "0")),
-        remaining_timeout_us=int(fields[Field.CLIENT_TIMEOUT_US]),
-        key=int(key, 16) if key is not None else None,
-        work_us=int(work_us) if work_us is not None else None,
-        is_retry=fields.get(Field.RETRY) == TRUE,
-        tenant=int(fields.get(Field.TENANT, "0")),
-        is_write=fields.get(Field.IS_WRITE) == TRUE,
+        request_id=text_field(fields, Field.REQUEST_ID),
+        request_class=integer_field(fields, Field.REQUEST_CLASS, 0),
+        remaining_timeout_us=integer_field(fields, Field.CLIENT_TIMEOUT_US),
+        key=optional_integer_field(fields, Field.KEY, base=16),
+        work_us=optional_integer_field(fields, Field.WORK_US),
+        is_retry=flag_field(fields, Field.RETRY),
+        tenant=integer_field(fields, Field.TENANT, 0),
+        is_write=flag_field(fields, Field.IS_WRITE),
     )
 
 
 def _parse_attempt_ended(fields: Fields) -> AttemptEnded:
     return AttemptEnded(
-        request_id=fields[Field.REQUEST_ID],
-        attempt=int(fields[Field.ATTEMPT]),
-        endpoint_id=int(fields[Field.ENDPOINT]),
-        outcome=OUTCOMES[fields[Field.OUTCOME]],
-        latency_us=int(fields.get(Field.LATENCY_US, "0")),
-        finished=fields.get(Field.FINISHED) == TRUE,
+        request_id=text_field(fields, Field.REQUEST_ID),
+        attempt=integer_field(fields, Field.ATTEMPT),
+        endpoint_id=integer_field(fields, Field.ENDPOINT),
+        outcome=term_field(fields, Field.OUTCOME, OUTCOMES),
+        latency_us=integer_field(fields, Field.LATENCY_US, 0),
+        finished=flag_field(fields, Field.FINISHED),
         load_report=parse_load_report(fields.get(Field.LOAD_REPORT, "")),
     )
 
 
 def _parse_client_disconnected(fields: Fields) -> ClientDisconnected:
-    return ClientDisconnected(fields[Field.REQUEST_ID])
+    return ClientDisconnected(text_field(fields, Field.REQUEST_ID))
 
 
 def _parse_stream_started(fields: Fields) -> StreamStarted:
-    return StreamStarted(fields[Field.REQUEST_ID], int(fields[Field.ATTEMPT]))
+    return StreamStarted(text_field(fields, Field.REQUEST_ID), integer_field(fields, Field.ATTEMPT))
 
 
 def _parse_timer_fired(fields: Fields) -> TimerFired:
-    return TimerFired(int(fields[Field.TOKEN]))
+    return TimerFired(integer_field(fields, Field.TOKEN))
 
 
 def _parse_health_check_ended(fields: Fields) -> HealthCheckEnded:
     return HealthCheckEnded(
-        endpoint_id=int(fields[Field.ENDPOINT]),
-        outcome=OUTCOMES[fields[Field.OUTCOME]],
-        latency_us=int(fields.get(Field.LATENCY_US, "0")),
+        endpoint_id=integer_field(fields, Field.ENDPOINT),
+        outcome=term_field(fields, Field.OUTCOME, OUTCOMES),
+        latency_us=integer_field(fields, Field.LATENCY_US, 0),
         load_report=parse_load_report(fields.get(Field.LOAD_REPORT, "")),
     )
 
 
 def _parse_peer_message_received(fields: Fields) -> PeerMessageReceived:
-    text = fields[Field.DATA]
+    text = text_field(fields, Field.DATA)
     try:
         data = b"" if text == NO_DATA else base64.b64decode(text, validate=True)
     except binascii.Error as error:
         raise WireFormatError(f"{Field.DATA} are not base64: {error}") from None
-    return PeerMessageReceived(int(fields[Field.GATEWAY_INDEX]), data)
+    except ValueError as error:  # a character that is not ASCII
+        raise WireFormatError(str(error)) from None
+    return PeerMessageReceived(integer_field(fields, Field.GATEWAY_INDEX), data)
 
 
 PARSERS: dict[str, Callable[[Fields], Event]] = {
@@ -183,10 +193,7 @@
     Message.HEALTH_CHECK_ENDED: _parse_health_check_ended,
     Message.PEER_MESSAGE_RECEIVED: _parse_peer_message_received,
 }
-"""What makes an event of a line's fields, by message name.
-
-Each raises KeyError for a field that is missing or a word that is unknown, and ValueError for a bad number.
-"""
+"""What makes an event of a line's fields, by message name; each may raise WireFormatError."""
 
 
 def format_action(action: Action) -> str:
--- /dev/null
+++ b/load_balancer/simulator/fields.py
@@ -0,0 +1,94 @@
+"""Typed access to the fields of a line."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import TypeVar
+
+from load_balancer.simulator.errors import WireFormatError
+from load_balancer.simulator.vocabulary import TRUE
+
+Fields = Mapping[str, str]
+
+_Term = TypeVar("_Term")
+
+
+def text_field(fields: Fields, name: str) -> str:
+    """Return a field that must be there.
+
+    Raises:
+        WireFormatError: The field is missing.
+    """
+    try:
+        return fields[name]
+    except KeyError:
+        raise _missing_or_unknown(name) from None
+
+
+def integer_field(fields: Fields, name: str, default: int | None = None) -> int:
+    """Return a whole number; without a default the field must be there.
+
+    Raises:
+        WireFormatError: The field is missing, or is not a whole number.
+    """
+    text = fields.get(name)
+    if text is None:
+        if default is None:
+            raise _missing_or_unknown(name)
+        return default
+    try:
+        return int(text)
+    except ValueError as error:
+        raise WireFormatError(str(error)) from None
+
+
+def optional_integer_field(fields: Fields, name: str, base: int = 10) -> int | None:
+    """Return a whole number, or None where the field is missing.
+
+    Raises:
+        WireFormatError: The field is not a whole number.
+    """
+    text = fields.get(name)
+    if text is None:
+        return None
+    try:
+        return int(text, base)
+    except ValueError as error:
+        raise WireFormatError(str(error)) from None
+
+
+def number_field(fields: Fields, name: str, default: float) -> float:
+    """Return a number.
+
+    Raises:
+        WireFormatError: The field is not a number.
+    """
+    text = fields.get(name)
+    if text is None:
+        return default
+    try:
+        return float(text)
+    except ValueError as error:
+        raise WireFormatError(str(error)) from None
+
+
+def flag_field(fields: Fields, name: str) -> bool:
+    """Return whether a flag is set; one that is missing is not."""
+    return fields.get(name) == TRUE
+
+
+def term_field(fields: Fields, name: str, terms: Mapping[str, _Term]) -> _Term:
+    """Return the term that a table has for the word in a field.
+
+    Raises:
+        WireFormatError: The field is missing, or its word is not in the table.
+    """
+    word = text_field(fields, name)
+    try:
+        return terms[word]
+    except KeyError:
+        raise _missing_or_unknown(word) from None
+
+
+def _missing_or_unknown(name: str) -> WireFormatError:
+    return WireFormatError(f"field or value {name!r} is missing or unknown")
--- a/load_balancer/simulator/vocabulary.py
+++ b/load_balancer/simulator/vocabulary.py
@@ -92,7 +92,6 @@
 NO_DATA = "-"
 ALL_GATEWAYS = -1
 TRUE = "1"
-DEFAULT_STATUS = "Ready"
 
 ENDPOINT_STATUSES = {
     "Ready": EndpointStatus.READY,
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -43,6 +43,39 @@
     assert any(reply.startswith("pass_on requestId=t/good") for reply in replies)
 
 
+@pytest.mark.parametrize(
+    ("line", "reason"),
+    [
+        ("incoming graceUs=9", "field or value 'requestId' is missing or unknown"),
+        ("pong host=11 verdict=999", "field or value '999' is missing or unknown"),
+        ("registry index=1 how=diff table=9", "field or value '9' is missing or unknown"),
+        ("incoming requestId=t/a graceUs=soon", "invalid literal for int() with base 10: 'soon'"),
+        ("incoming requestId=t/a graceUs=9 affinity=x", "invalid literal for int() with base 16: 'x'"),
+        ("inbox src=1 bytes=a", "bytes are not base64: "),
+        ("dropped requestId", "'requestId' is not name=value"),
+        ("nonsense a=1", "unknown event"),
+    ],
+)
+def test_the_reason_stands_between_the_number_of_a_bad_line_and_its_text(line: str, reason: str) -> None:
+    _, errors = run(*START, "instance i=gateway_0", line)
+    assert errors.startswith(f"load_balancer: line 10: {reason}")
+    assert errors.endswith(f": {line}\n")
+
+
+@pytest.mark.parametrize(
+    ("entry", "reason"),
+    [
+        ("host host=1 heft=0", "heft is not a finite number above 0"),
+        ("host host=1 heft=odd", "could not convert string to float: 'odd'"),
+        ("host host=1 status=Odd", "field or value 'Odd' is missing or unknown"),
+        ("incoming requestId=t/a graceUs=9", "not a list entry"),
+    ],
+)
+def test_a_bad_entry_of_a_table_is_named(entry: str, reason: str) -> None:
+    _, errors = run("inventory table=0 members=2", entry, "host host=2")
+    assert errors == f"load_balancer: line 2: {reason}: {entry}\n"
+
+
 def test_an_unknown_instance_is_named() -> None:
     replies, errors = run(
         "begin_batch simTimeUs=1", "instance i=gateway_8", "incoming requestId=t/a graceUs=9", "go"
--- a/tests/simulator/test_settings.py
+++ b/tests/simulator/test_settings.py
@@ -18,7 +18,8 @@
     Settings,
     Tenant,
 )
-from load_balancer.simulator.codec import WireFormatError, parse_settings
+from load_balancer.simulator.codec import parse_settings
+from load_balancer.simulator.errors import WireFormatError
 from tests.simulator.script import SETTINGS, run
 
 CLASSES, TWICE = '"lanes": [{"giveUpUs": 1}]', '{"name": "t"}, {"name": "t"}'
