--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -21,6 +21,8 @@
 from lab import module, reload, report, scale, schedule, up
 from lab.model.commands import compare_command, report_command, run_command
 from lab.processes import ChildError
+from lab.records import Plan
+from lab.rig import ReportProgress
 from lab.tables import table
 from load_balancer.config.file import parse_config
 
@@ -34,6 +36,7 @@
     """Says in one line what is wrong with the arguments, and ends with 2."""
 
     def main(self, *args: Any, **kwargs: Any) -> Any:
+        """Run a command; ends the process with its code."""
         kwargs["standalone_mode"] = False
         try:
             code = super().main(*args, **kwargs)
@@ -58,10 +61,12 @@
 
 
 def half_of_memory_mb() -> int:
+    """Half of the machine's memory."""
     return int(psutil.virtual_memory().total / 2e6)
 
 
 def parse_size(text: str) -> tuple[int, int, int]:
+    """Servers, routes and tenants of a size as 200x3x2."""
     parts = text.split("x")
     if len(parts) != 3 or not all(part.isascii() and part.isdigit() and int(part) > 0 for part in parts):
         raise click.BadParameter(f"{text!r} is not of the form SERVERSxROUTESxTENANTS")
@@ -69,7 +74,7 @@
     return servers, routes, tenants
 
 
-def check_out(context: click.Context, parameter: click.Parameter, value: Path | None) -> Path | None:
+def check_out(_context: click.Context, _parameter: click.Parameter, value: Path | None) -> Path | None:
     """A result that cannot be written is known before the run, not after."""
     if value is not None and (value.is_dir() or not value.parent.is_dir()):
         raise click.BadParameter(f"{value} cannot be written")
@@ -185,14 +190,28 @@
 @click.option(
     "--out", type=click.Path(path_type=Path, file_okay=False), required=True, help="Directory for the result."
 )
-def scale_command(out: Path, memory_mb: int | None, scenarios: tuple[str, ...], **sizes: Any) -> int:
+def scale_command(
+    out: Path,
+    memory_mb: int | None,
+    scenarios: tuple[str, ...],
+    hollow: int,
+    hollow_rate: float,
+    **sizes: Any,
+) -> int:
     """The whole at a size: result.json in the directory, and one table."""
     bound = checked_bound(memory_mb)
-    plan = scale.Plan(scenarios=tuple(dict.fromkeys(scenarios)), memory_mb=bound, **sizes)
+    plan = Plan(
+        scenarios=tuple(dict.fromkeys(scenarios)),
+        memory_mb=bound,
+        simulated=hollow,
+        simulated_rate=hollow_rate,
+        **sizes,
+    )
     return played(out, lambda say: scale.play(plan, out, say), report.report)
 
 
 def checked_bound(memory_mb: int | None) -> int:
+    """The bound on memory, by default half of the machine's."""
     most = half_of_memory_mb()
     if memory_mb is not None and memory_mb > most:
         raise click.BadParameter(f"--memory-mb is above half of the machine's memory, {most}")
@@ -201,7 +220,7 @@
 
 def played(
     out: Path,
-    play: Callable[[scale.Say], Coroutine[Any, Any, dict[str, Any]]],
+    play: Callable[[ReportProgress], Coroutine[Any, Any, dict[str, Any]]],
     tell: Callable[[dict[str, Any]], str],
 ) -> int:
     """A run with its result in the directory, its table printed and its progress on standard error."""
@@ -271,9 +290,9 @@
 @click.option(
     "--out", type=click.Path(path_type=Path, file_okay=False), required=True, help="Directory for the result."
 )
-def reload_command(out: Path, memory_mb: int | None, **sizes: Any) -> int:
+def reload_command(out: Path, memory_mb: int | None, hollow: int, **sizes: Any) -> int:
     """Changes of one tenant under way: result.json in the directory, and one table."""
-    plan = reload.Plan(memory_mb=checked_bound(memory_mb), **sizes)
+    plan = reload.Plan(memory_mb=checked_bound(memory_mb), simulated=hollow, **sizes)
     return played(out, lambda say: reload.play(plan, out, say), reload.report)
 
 
--- a/lab/clients.py
+++ b/lab/clients.py
@@ -6,18 +6,27 @@
 import threading
 import time
 from collections.abc import Iterator
-from typing import Any, cast
+from typing import Any, NamedTuple, assert_never, cast
 
 import httptools
 
 from lab import fleet, schedule
-from lab.child import Handler, Hist, Order, obey
-
-PATIENCE_S = 2.0  # the settings' time to give up, for every first try
+from lab.child import Handler, Hist, serve
+from lab.messages import (
+    Address,
+    AwaitRequests,
+    ClientCommand,
+    ClientResult,
+    PlayRequests,
+    TargetResult,
+)
+
+TIMEOUT_S = 2.0  # of every request
 DIRECT_SERVERS = 16  # asked straight
 BODY = b"x" * 120
 CONNECT_S = 1.0
-LEAD_S = 0.1  # from the order to the first request
+LEAD_S = 0.1  # from the command to the first request
+DRAIN_POLL_S = 0.01
 
 
 def ask_bytes(route: int, tenant: int, number: int) -> bytes:
@@ -26,7 +35,7 @@
     head = (
         f"{'GET' if effect == 'free' else 'POST'} /{name}?user={number % 9973:04x} HTTP/1.1\r\n"
         f"Host: service.internal\r\nRequest-Id: {number:016x}\r\nRequest-Class: {name}\r\n"
-        f"Tenant: {fleet.tenant(tenant)}\r\nRequest-Timeout-Ms: {int(PATIENCE_S * 1e3)}\r\n"
+        f"Tenant: {fleet.tenant(tenant)}\r\nRequest-Timeout-Ms: {int(TIMEOUT_S * 1e3)}\r\n"
     )
     if effect == "free":
         return f"{head}\r\n".encode()
@@ -35,66 +44,72 @@
     return f"{head}Content-Length: {len(BODY)}\r\n\r\n".encode() + BODY
 
 
-class Side:
+class Target:
     """Connections to some addresses, and what came of the requests sent there."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, addresses: list[tuple[str, int]]) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, addresses: list[Address]) -> None:
         self.loop = loop
         self.addresses = addresses
         self.idle: list[list[Connection]] = [[] for _ in addresses]
         self.hist = Hist()
         self.counts: dict[str, int] = {}
         self.bytes = 0
-        self.out = 0
+        self.in_flight = 0
         self.tasks: set[asyncio.Task[None]] = set()
 
-    def ask(self, target: int, payload: bytes, expected: bytes, counted: bool) -> None:
-        self.out += 1
-        ClientRequest(self, target, payload, expected, counted).send()
+    def send(self, index: int, payload: bytes, expected: bytes, counted: bool) -> None:
+        """Send a request to the address of an index."""
+        self.in_flight += 1
+        ClientRequest(self, index, payload, expected, counted).send()
 
-    def ended(self, what: str, began_ns: int, counted: bool) -> None:
-        self.out -= 1
+    def count_end(self, what: str, began_ns: int, counted: bool) -> None:
+        """Count how a request ended, and its latency where it was served."""
+        self.in_flight -= 1
         if counted:
             self.counts[what] = self.counts.get(what, 0) + 1
             if what == "200":
                 self.hist.add((time.perf_counter_ns() - began_ns) / 1e3)
 
     def close(self) -> None:
+        """Close all idle connections."""
         for idle in self.idle:
             for connection in list(idle):
                 connection.abort()
 
-    def result(self) -> dict[str, Any]:
-        return {"counts": self.counts, "latency": self.hist.text(), "bytes": self.bytes}
+    def result(self) -> TargetResult:
+        """What came of all requests."""
+        return TargetResult(self.counts, self.hist.text(), self.bytes)
 
 
 class ClientRequest:
     """One request, until its answer has come whole, its time is over or its connection has gone."""
 
-    def __init__(self, side: Side, target: int, payload: bytes, expected: bytes, counted: bool) -> None:
-        self.side, self.target, self.payload, self.expected = side, target, payload, expected
+    def __init__(self, target: Target, index: int, payload: bytes, expected: bytes, counted: bool) -> None:
+        self.target, self.index, self.payload, self.expected = target, index, payload, expected
         self.counted = counted
         self.began_ns = time.perf_counter_ns()
         self.connection: Connection | None = None
-        self.again = True
+        self.may_resend = True
         self.done = False
-        self.timer = side.loop.call_later(PATIENCE_S, self.give_up)
+        self.timer = target.loop.call_later(TIMEOUT_S, self.give_up)
 
     def send(self) -> None:
-        idle = self.side.idle[self.target]
+        """Send it over an idle connection, or a new one."""
+        idle = self.target.idle[self.index]
         if idle:
             idle.pop().write(self)
         else:
-            task = self.side.loop.create_task(self.connect())
-            self.side.tasks.add(task)
-            task.add_done_callback(self.side.tasks.discard)
+            task = self.target.loop.create_task(self.connect())
+            self.target.tasks.add(task)
+            task.add_done_callback(self.target.tasks.discard)
 
     async def connect(self) -> None:
-        side = self.side
-        connection = Connection(side, self.target)
+        """Open a connection and send it there."""
+        target = self.target
+        connection = Connection(target, self.index)
         try:
             async with asyncio.timeout(CONNECT_S):
-                await side.loop.create_connection(lambda: connection, *side.addresses[self.target])
+                await target.loop.create_connection(lambda: connection, *target.addresses[self.index])
         except (OSError, TimeoutError):
             self.end("no connection")
             return
@@ -104,6 +119,7 @@
             connection.write(self)
 
     def give_up(self) -> None:
+        """End it once its time is over."""
         if self.connection is not None:
             self.connection.abort()
         self.end("out of time")
@@ -113,169 +129,198 @@
         if self.done:
             return
         self.connection = None
-        if reused and self.again:
-            self.again = False
-            self.side.idle[self.target].clear()
+        if reused and self.may_resend:
+            self.may_resend = False
+            self.target.idle[self.index].clear()
             self.send()
         else:
             self.end("lost")
 
     def end(self, what: str) -> None:
+        """End it once, with what came of it."""
         if not self.done:
             self.done = True
             self.timer.cancel()
-            self.side.ended(what, self.began_ns, self.counted)
+            self.target.count_end(what, self.began_ns, self.counted)
 
 
 class Connection(asyncio.Protocol):
-    def __init__(self, side: Side, target: int) -> None:
-        self.side, self.target = side, target
+    """A connection that serves one request at a time."""
+
+    def __init__(self, target: Target, index: int) -> None:
+        self.target, self.index = target, index
         self.transport: asyncio.Transport | None = None
-        self.asked: ClientRequest | None = None
+        self.request: ClientRequest | None = None
         self.served = 0
         self.parser = httptools.HttpResponseParser(self)
         self.body = b""
         self.keep = True
-        self.over = False
+        self.complete = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """See asyncio.Protocol."""
         self.transport = cast(asyncio.Transport, transport)
 
-    def write(self, asked: ClientRequest) -> None:
+    def write(self, request: ClientRequest) -> None:
+        """Send a request."""
         assert self.transport is not None
-        self.asked, asked.connection = asked, self
-        self.side.bytes += len(asked.payload)
-        self.transport.write(asked.payload)
+        self.request, request.connection = request, self
+        self.target.bytes += len(request.payload)
+        self.transport.write(request.payload)
 
     def data_received(self, data: bytes) -> None:
-        self.side.bytes += len(data)
+        """See asyncio.Protocol."""
+        self.target.bytes += len(data)
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
             self.abort()
             return
-        if not self.over:
+        if not self.complete:
             return
-        asked, self.asked, self.over = self.asked, None, False
+        request, self.request, self.complete = self.request, None, False
         status = self.parser.get_status_code()
         self.served += 1
         if self.keep and self.transport is not None and not self.transport.is_closing():
-            self.side.idle[self.target].append(self)
+            self.target.idle[self.index].append(self)
         else:
             self.abort()
-        if asked is not None:
-            wrong = status == 200 and self.body != asked.expected
-            asked.end("wrong body" if wrong else str(status))
+        if request is not None:
+            wrong = status == 200 and self.body != request.expected
+            request.end("wrong body" if wrong else str(status))
 
     def on_message_begin(self) -> None:
+        """See httptools."""
         self.body = b""
 
     def on_body(self, body: bytes) -> None:
+        """See httptools."""
         self.body += body
 
     def on_message_complete(self) -> None:
-        self.over, self.keep = True, self.parser.should_keep_alive()
+        """See httptools."""
+        self.complete, self.keep = True, self.parser.should_keep_alive()
 
-    def connection_lost(self, exc: Exception | None) -> None:
-        idle = self.side.idle[self.target]
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """See asyncio.Protocol."""
+        idle = self.target.idle[self.index]
         if self in idle:
             idle.remove(self)
-        asked, self.asked = self.asked, None
-        if asked is not None:
-            asked.lost(reused=self.served > 0)
+        request, self.request = self.request, None
+        if request is not None:
+            request.lost(reused=self.served > 0)
 
     def abort(self) -> None:
+        """Close at once."""
         if self.transport is not None:
             self.transport.abort()
 
 
+class PlannedRequest(NamedTuple):
+    """A request that is to be sent."""
+
+    at_s: float
+    target: str
+    address_index: int  # in the target's addresses
+    payload: bytes
+    expected: bytes
+
+
 class Clients:
+    """Sends requests at their times, through gateways and straight."""
+
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
-        self.sides: dict[str, Side] = {}
+        self.targets: dict[str, Target] = {}
         self.late = Hist()
         self.playing: asyncio.Task[None] | None = None
 
-    def plan(self, order: Order) -> Iterator[tuple[float, str, int, bytes, bytes]]:
+    def plan(self, command: PlayRequests) -> Iterator[PlannedRequest]:
         """Every request goes to a gateway, and half a mean gap later the same goes to a stand-in."""
-        asked = schedule.requests(
-            order["seed"],
+        drawn = schedule.requests(
+            command.seed,
             "clients",
-            order["rate"],
-            order["seconds"],
-            order["routes"],
-            order["tenants"],
-            len(order["gateways"]),
+            command.rate,
+            command.seconds,
+            command.routes,
+            command.tenants,
+            len(command.gateways),
         )
-        kinds = zip(asked.times_s, asked.routes, asked.tenants, asked.targets, strict=True)
-        pending: list[tuple[float, str, int, bytes, bytes]] = []
-        for n, (at_s, route, tenant, target) in enumerate(kinds):
-            while pending and pending[0][0] <= at_s:
+        kinds = zip(drawn.times_s, drawn.routes, drawn.tenants, drawn.targets, strict=True)
+        pending: list[PlannedRequest] = []
+        for n, (at_s, route, tenant, gateway) in enumerate(kinds):
+            while pending and pending[0].at_s <= at_s:
                 yield pending.pop(0)
-            number = order["first"] + 2 * n
-            for side, to, step in (("gateway", target, 0), ("direct", n, 1)):
-                payload = ask_bytes(route, tenant, number + step)
-                expected = b"%016x /%b\n" % (number + step, fleet.route(route).encode())
-                if side == "gateway":
-                    yield at_s, side, to, payload, expected
-                elif order["direct"]:
-                    place = to % len(order["direct"])
-                    pending.append((at_s + 0.5 / order["rate"], side, place, payload, expected))
+            number = command.first + 2 * n
+            yield PlannedRequest(at_s, "gateway", gateway, *exchange(route, tenant, number))
+            if command.direct:
+                direct_s, index = at_s + 0.5 / command.rate, n % len(command.direct)
+                pending.append(
+                    PlannedRequest(direct_s, "direct", index, *exchange(route, tenant, number + 1))
+                )
         yield from pending
 
-    async def play(self, order: Order) -> None:
-        """Latencies count only after the first `warm` seconds, when connections are up.
+    async def play(self, command: PlayRequests) -> None:
+        """Send all requests; latencies count only after `warm` seconds, when connections are up.
 
         A thread keeps the time: the loop's timers go by whole milliseconds, and so do the stand-in's, so that
         requests sent on a tick would hide up to a millisecond of what a gateway adds.
         """
-        plan = list(self.plan(order))
+        plan = list(self.plan(command))
         start = time.monotonic() + LEAD_S
         sent = asyncio.Event()
 
         def keep_time() -> None:
-            for at_s, side, target, payload, expected in plan:
-                wait_s = start + at_s - time.monotonic()
+            for planned in plan:
+                wait_s = start + planned.at_s - time.monotonic()
                 if wait_s > 0:
                     time.sleep(wait_s)
-                asked = (start + at_s, at_s >= order["warm"], side, target, payload, expected)
-                self.loop.call_soon_threadsafe(self.ask, *asked)
+                counted = planned.at_s >= command.warm
+                self.loop.call_soon_threadsafe(self.send, start + planned.at_s, counted, planned)
             self.loop.call_soon_threadsafe(sent.set)
 
         threading.Thread(target=keep_time, daemon=True).start()
         await sent.wait()
-        while any(s.out for s in self.sides.values()):
-            await asyncio.sleep(0.01)
-        for over in self.sides.values():
-            over.close()
+        while any(target.in_flight for target in self.targets.values()):
+            await asyncio.sleep(DRAIN_POLL_S)
+        for target in self.targets.values():
+            target.close()
 
-    def ask(self, due: float, counted: bool, side: str, target: int, payload: bytes, expected: bytes) -> None:
+    def send(self, due: float, counted: bool, planned: PlannedRequest) -> None:
+        """Send a request that was due at a time of the monotonic clock."""
         self.late.add((time.monotonic() - due) * 1e6)
-        self.sides[side].ask(target, payload, expected, counted)
+        target = self.targets[planned.target]
+        target.send(planned.address_index, planned.payload, planned.expected, counted)
 
-    async def handle(self, order: Order) -> Any:
-        match order["do"]:
-            case "play":
+    async def handle(self, command: ClientCommand) -> Any:
+        """Carry out a command; returns its answer."""
+        match command:
+            case PlayRequests():
                 self.late = Hist()
-                self.sides = {
-                    side: Side(self.loop, [(host, port) for host, port in order[key]])
-                    for side, key in (("gateway", "gateways"), ("direct", "direct"))
+                self.targets = {
+                    "gateway": Target(self.loop, command.gateways),
+                    "direct": Target(self.loop, command.direct),
                 }
-                self.playing = self.loop.create_task(self.play(order))
+                self.playing = self.loop.create_task(self.play(command))
                 return None
-            case "played":
+            case AwaitRequests():
                 if self.playing is not None:
                     await self.playing
-                return {
-                    "late": self.late.text(),
-                    "sides": {n: side.result() for n, side in self.sides.items()},
-                }
-        raise ValueError(f"unknown order {order['do']!r}")
+                results = {name: target.result() for name, target in self.targets.items()}
+                return ClientResult(self.late.text(), results)
+            case _:
+                assert_never(command)
+
+
+def exchange(route: int, tenant: int, number: int) -> tuple[bytes, bytes]:
+    """A request's bytes, and the body of its answer."""
+    return ask_bytes(route, tenant, number), b"%016x /%b\n" % (number, fleet.route(route).encode())
 
 
-def make() -> Handler:
+def create_handler() -> Handler[ClientCommand]:
+    """The handler of commands, on the running event loop."""
     return Clients(asyncio.get_running_loop()).handle
 
 
 if __name__ == "__main__":
-    obey(make)
+    serve(create_handler, ClientCommand)
--- a/lab/fleet.py
+++ b/lab/fleet.py
@@ -28,6 +28,7 @@
 
 
 def zone_of(number: int) -> str:
+    """The zone of a server."""
     return ZONES[number % len(ZONES)]
 
 
@@ -54,14 +55,17 @@
 
 
 def route(number: int) -> str:
+    """The name of a route."""
     return f"route-{number}"
 
 
 def tenant(number: int) -> str:
+    """The name of a tenant."""
     return f"tenant-{number}"
 
 
 def effect(number: int) -> str:
+    """The effect of a route's requests, in the settings' words."""
     return EFFECTS[number % len(EFFECTS)]
 
 
--- a/lab/module.py
+++ b/lab/module.py
@@ -59,6 +59,7 @@
     attempts: dict[str, int] = field(default_factory=dict)
 
     def handle(self, event: Event) -> list[Action]:
+        """Give an event to the Balancer and carry out what it decides."""
         began = time.perf_counter_ns()
         actions = self.balancer.handle(self.now_us, event)
         took = time.perf_counter_ns() - began
@@ -76,10 +77,12 @@
         return actions
 
     def put(self, due_us: int, event: Event) -> None:
+        """Let an event happen at a time."""
         self.count += 1
         heapq.heappush(self.agenda, (due_us, self.count, event))
 
     def answer(self, send: Send) -> None:
+        """Let an attempt end, by chance in an error."""
         self.sent += 1
         number = self.attempts.get(send.request_id, 0)
         self.attempts[send.request_id] = number + 1
@@ -94,6 +97,7 @@
         self.put(self.now_us + after_us, ended)
 
     def until(self, due_us: int) -> None:
+        """Let all happen that is due by a time."""
         while self.agenda and self.agenda[0][0] <= due_us:
             self.now_us, _, event = heapq.heappop(self.agenda)
             self.handle(event)
@@ -210,6 +214,7 @@
 
 
 def row(result: dict[str, Any]) -> list[str]:
+    """A line on a size."""
     size = f"{result['servers']}x{result['routes']}x{result['tenants']}"
     if "failed" in result:
         return [size, result["failed"]]
--- a/lab/processes.py
+++ b/lab/processes.py
@@ -1,20 +1,22 @@
-"""The run's side of its children: started, asked, measured, held under a bound, ended by their id."""
+"""A run's side of its children: started, asked, measured, held under a bound of memory, ended by their id."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-import json
 import os
 import sys
 import time
 from pathlib import Path
 from types import TracebackType
-from typing import Any, BinaryIO
+from typing import BinaryIO
 
+import msgspec
 import psutil
 
-from lab.child import ORDER_LIMIT
+from lab.child import LINE_LIMIT
+from lab.messages import AnswerT, Command
+from load_balancer.errors import LoadBalancerError
 
 ROOT = Path(__file__).parent.parent
 POLL_S = 0.1
@@ -22,15 +24,17 @@
 ANSWER_S = 120.0
 
 
-class ChildError(RuntimeError):
+class ChildError(LoadBalancerError, RuntimeError):
     """A child has ended, or does not answer."""
 
 
-class OverBound(ChildError):
+class MemoryBoundError(ChildError):
     """A child was ended because the run held more memory than it may."""
 
 
 class Child:
+    """One child process: asked, measured and ended."""
+
     def __init__(self, name: str, process: asyncio.subprocess.Process) -> None:
         self.name = name
         self.process = process
@@ -60,32 +64,45 @@
         return float(times.user + times.system)
 
     def check(self, gone: bool = False) -> None:
+        """Check that it runs.
+
+        Raises:
+            MemoryBoundError: It was ended over the bound of memory.
+            ChildError: It has ended by itself, or `gone` says so.
+        """
         if self.over:
-            raise OverBound(f"{self.name} was ended over the bound of memory")
+            raise MemoryBoundError(f"{self.name} was ended over the bound of memory")
         if gone or self.process.returncode is not None:
             raise ChildError(f"{self.name} has ended by itself: {self.process.returncode}")
 
-    async def ask(self, do: str, **order: Any) -> Any:
-        """Give an order; returns what the child answers."""
+    async def ask(self, command: Command[AnswerT]) -> AnswerT:
+        """Send a command; returns the child's answer.
+
+        Raises:
+            ChildError: It has ended, or does not answer.
+        """
         stdin, stdout = self.process.stdin, self.process.stdout
-        assert stdin is not None and stdout is not None
+        assert stdin is not None
+        assert stdout is not None
         async with self.lock:
             self.check()
             try:
                 async with asyncio.timeout(ANSWER_S):
-                    stdin.write(json.dumps({"do": do, **order}).encode() + b"\n")
+                    stdin.write(msgspec.json.encode(command) + b"\n")
                     await stdin.drain()
                     line = await stdout.readline()
             except (TimeoutError, ConnectionError, RuntimeError) as error:  # the last from a closed pipe
                 self.check()
-                raise ChildError(f"{self.name} does not answer to {do}: {error!r}") from None
+                name = command.__struct_config__.tag
+                raise ChildError(f"{self.name} does not answer to {name}: {error!r}") from None
             if not line:
                 await self.process.wait()
                 self.check(gone=True)
-            return json.loads(line)
+            answer: AnswerT = msgspec.json.decode(line, type=command.answer_type)
+            return answer
 
     async def end(self, gently: bool = True) -> None:
-        """By its id, and waited for."""
+        """End it by its id, and wait for that."""
         if self.process.returncode is None and gently:
             with contextlib.suppress(ProcessLookupError):
                 self.process.terminate()
@@ -106,18 +123,18 @@
         self.logs = logs
         self.running: list[Child] = []
         self.files: list[BinaryIO] = []
-        self.guard: asyncio.Task[None] | None = None
+        self.memory_guard: asyncio.Task[None] | None = None
         self.most_bytes = 0
 
     async def __aenter__(self) -> Children:
-        self.guard = asyncio.get_running_loop().create_task(self.keep_bound())
+        self.memory_guard = asyncio.get_running_loop().create_task(self.enforce_memory_bound())
         return self
 
     async def __aexit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
-        if self.guard is not None:
-            self.guard.cancel()
+        if self.memory_guard is not None:
+            self.memory_guard.cancel()
         for child in self.running:  # at once, so that nothing comes between
             with contextlib.suppress(ProcessLookupError):
                 child.process.kill()
@@ -130,7 +147,7 @@
 
         It is in a session of its own: an interrupt at the terminal reaches the run alone.
         """
-        kept = {key: value for key, value in os.environ.items() if not key.startswith("ROUTER_")}
+        environment = {key: value for key, value in os.environ.items() if not key.startswith("ROUTER_")}
         log = (self.logs / f"{name}.log").open("wb")
         self.files.append(log)
         starting = asyncio.ensure_future(
@@ -142,8 +159,8 @@
                 stdout=asyncio.subprocess.PIPE,
                 stderr=log,
                 cwd=ROOT,
-                env={**kept, "OPENBLAS_NUM_THREADS": "1", **environ},
-                limit=ORDER_LIMIT,
+                env={**environment, "OPENBLAS_NUM_THREADS": "1", **environ},
+                limit=LINE_LIMIT,
                 start_new_session=True,
             )
         )
@@ -157,12 +174,13 @@
         return child
 
     async def end(self, child: Child, gently: bool = True) -> None:
+        """End one child."""
         await child.end(gently)
         if child in self.running:
             self.running.remove(child)
 
-    async def keep_bound(self) -> None:
-        """Ends the largest child while all together hold more than the bound."""
+    async def enforce_memory_bound(self) -> None:
+        """End the largest child while all together hold more than the bound."""
         while True:
             held = {child: child.resident() for child in self.running if not child.over}
             total = sum(held.values())
--- /dev/null
+++ b/lab/readiness.py
@@ -0,0 +1,56 @@
+"""Polls the readiness of gateways: what their event loops alone answer, and how late."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections.abc import Iterable
+
+from lab.child import Hist
+from lab.messages import Address
+
+POLL_S = 0.002  # between two polls of one gateway
+READY_REQUEST = b"GET /health/ready HTTP/1.1\r\nHost: service.internal\r\n\r\n"
+
+
+async def fetch(
+    reader: asyncio.StreamReader, writer: asyncio.StreamWriter, payload: bytes
+) -> tuple[int, bytes]:
+    """Send one request on a connection; returns the answer's status and body."""
+    writer.write(payload)
+    head = (await reader.readuntil(b"\r\n\r\n")).lower()
+    length = int(head.partition(b"content-length:")[2].split(b"\r\n")[0])
+    return int(head.split()[1]), await reader.readexactly(length)
+
+
+class ReadinessPoll:
+    """Asks each gateway whether it is ready, again and again."""
+
+    def __init__(self) -> None:
+        self.hist = Hist()
+        self.tasks: list[asyncio.Task[None]] = []
+
+    def start(self, gateways: Iterable[Address]) -> None:
+        """Begin anew, with a connection to each gateway."""
+        self.hist = Hist()
+        self.tasks = [asyncio.create_task(self._poll(host, port)) for host, port in gateways]
+
+    async def _poll(self, host: str, port: int) -> None:
+        reader, writer = await asyncio.open_connection(host, port)
+        try:
+            while True:
+                began = time.perf_counter_ns()
+                await fetch(reader, writer, READY_REQUEST)
+                self.hist.add((time.perf_counter_ns() - began) / 1e3)
+                await asyncio.sleep(POLL_S)
+        finally:
+            writer.close()
+
+    async def stop(self) -> str:
+        """End the polls; returns their latency as a histogram's text. Raises what has ended one before."""
+        for task in self.tasks:
+            if task.done():
+                task.result()
+            task.cancel()
+        await asyncio.gather(*self.tasks, return_exceptions=True)
+        return self.hist.text()
--- a/lab/registry.py
+++ b/lab/registry.py
@@ -1,6 +1,6 @@
 """A stand-in for discovery: the list and the watch, calls handled in turn, changes played at seeded times.
 
-It listens twice, for real and for hollow gateways, so that what goes to each is counted apart.
+It listens twice, for real and for simulated gateways, so that what goes to each is counted apart.
 """
 
 from __future__ import annotations
@@ -10,25 +10,42 @@
 import time
 from collections.abc import Iterable
 from functools import partial
-from typing import Any, cast
+from typing import Any, assert_never, cast
 from urllib.parse import parse_qs
 
 import httptools
 
 from lab import fleet
-from lab.child import Handler, Hist, Order, obey
+from lab.child import Handler, Hist, serve
+from lab.messages import (
+    AwaitChanges,
+    ChangeStatus,
+    ListenForCalls,
+    ListState,
+    PlayChanges,
+    ReadRegistryStats,
+    RegistryCommand,
+    RegistryCounters,
+    RegistryStats,
+    RestoreEndpoints,
+    SetFleet,
+    TakeWritten,
+    TimedChange,
+    WrittenChange,
+)
 from load_balancer.gateway.discovery import STATUSES, endpoint_id_of
 
 PATH = b"/registry/instances"
-LISTENS = {"real": "127.0.0.2", "hollow": "127.0.0.3"}
+LISTEN_HOSTS = {"real": "127.0.0.2", "hollow": "127.0.0.3"}
 FIRST_INDEX = 41
 EMPTY_LINE_S = 2.0
 CALLS_PER_S = 2_000.0  # what it handles in turn
 LINES_PER_S = 2_000_000.0  # of lists
-PATIENCE_S = 1.0  # a call that would wait for longer ends with 503
+MAX_WAIT_S = 1.0  # a call that would wait for longer ends with 503
 
 
 def chunk(data: bytes) -> bytes:
+    """A chunk of a chunked body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
@@ -42,43 +59,54 @@
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """See asyncio.Protocol."""
         self.transport = cast(asyncio.Transport, transport)
         self.registry.open.add(self)
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """See asyncio.Protocol."""
         self.transport = None
         self.registry.open.discard(self)
         self.registry.watches.pop(self, None)
 
     def data_received(self, data: bytes) -> None:
+        """See asyncio.Protocol."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
             self.abort()
 
     def on_message_begin(self) -> None:
+        """See httptools."""
         self.target = b""
 
     def on_url(self, url: bytes) -> None:
+        """See httptools."""
         self.target += url
 
     def on_message_complete(self) -> None:
-        self.registry.called(self, self.target)
+        """See httptools."""
+        self.registry.handle_call(self, self.target)
 
     def write(self, data: bytes) -> None:
+        """Send and count, unless it is closing."""
         if self.transport is not None and not self.transport.is_closing():
             self.registry.stats[self.side]["bytes"] += len(data)
             self.transport.write(data)
 
     def answer(self, status: int, body: bytes = b"") -> None:
+        """Send an answer of known length."""
         self.write(b"HTTP/1.1 %d Any\r\nContent-Length: %d\r\n\r\n%b" % (status, len(body), body))
 
     def abort(self) -> None:
+        """Close at once."""
         if self.transport is not None:
             self.transport.abort()
 
 
 class Registry:
+    """The list, its changes, and the connections that ask for it."""
+
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
         self.index = FIRST_INDEX
@@ -86,30 +114,30 @@
         self.entries: dict[int, fleet.EndpointEntry] = {}  # by number; one that has left is not there
         self.template: list[fleet.EndpointEntry] = []
         self.changes: list[tuple[int, int, fleet.EndpointEntry]] = []  # index, number, entry as changed
-        self.written: list[
-            tuple[int, str, int, int]
-        ] = []  # host's id, status, start in us, when written in ns
+        self.written: list[WrittenChange] = []  # since the last look
         self.open: set[Call] = set()
         self.watches: dict[Call, None] = {}  # in order
         self.listeners: dict[str, asyncio.Server] = {}
-        self.ports = dict.fromkeys(LISTENS, 0)
+        self.ports = dict.fromkeys(LISTEN_HOSTS, 0)
         self.free_at = 0.0  # when the calls taken by now are handled
         self.whole: tuple[int, bytes] = (-1, b"")
         self.late = Hist()
         self.stats: dict[str, dict[str, int]] = {
-            side: {"calls": 0, "turned_away": 0, "bytes": 0, "messages": 0} for side in LISTENS
+            side: {"calls": 0, "turned_away": 0, "bytes": 0, "messages": 0} for side in LISTEN_HOSTS
         }
 
     async def listen(self) -> dict[str, str]:
-        for side, host in LISTENS.items():
+        """Listen; returns the addresses by kind of gateways."""
+        for side, host in LISTEN_HOSTS.items():
             server = await self.loop.create_server(
                 partial(Call, self, side), host, self.ports[side], backlog=1024, reuse_address=True
             )
             self.listeners[side] = server
             self.ports[side] = server.sockets[0].getsockname()[1]
-        return {side: f"{host}:{self.ports[side]}" for side, host in LISTENS.items()}
+        return {side: f"{host}:{self.ports[side]}" for side, host in LISTEN_HOSTS.items()}
 
     def go_down(self) -> None:
+        """Stop listening and close all connections."""
         for server in self.listeners.values():
             server.close()
         self.listeners.clear()
@@ -129,38 +157,42 @@
 
     # Calls
 
-    def called(self, call: Call, target: bytes) -> None:
+    def handle_call(self, call: Call, target: bytes) -> None:
+        """Handle a request in its turn, or turn it away."""
         path, _, query = target.partition(b"?")
         if path != PATH:
             call.answer(404)
             return
         self.stats[call.side]["calls"] += 1
-        asked = parse_qs(query.decode("latin-1"))
+        parameters = parse_qs(query.decode("latin-1"))
         now = self.loop.time()
         self.free_at = max(now, self.free_at) + 1.0 / CALLS_PER_S
-        if self.free_at - now > PATIENCE_S:
+        if self.free_at - now > MAX_WAIT_S:
             self.free_at -= 1.0 / CALLS_PER_S
             self.stats[call.side]["turned_away"] += 1
-            self.loop.call_later(PATIENCE_S, call.answer, 503)
+            self.loop.call_later(MAX_WAIT_S, call.answer, 503)
             return
-        if asked.get("stream") == ["1"]:
-            text = asked.get("index", [""])[0]
+        if parameters.get("stream") == ["1"]:
+            text = parameters.get("index", [""])[0]
             since = int(text) if text.isascii() and text.isdigit() else -1
             self.loop.call_at(self.free_at, self.start_watch, call, since)
         else:
             self.free_at += len(self.entries) / LINES_PER_S
-            self.loop.call_at(self.free_at, self.give_list, call)
+            self.loop.call_at(self.free_at, self.answer_list, call)
 
-    def give_list(self, call: Call) -> None:
+    def answer_list(self, call: Call) -> None:
+        """Answer the whole list."""
         call.answer(200, self.whole_list())
         self.stats[call.side]["messages"] += 1
 
     def whole_list(self) -> bytes:
+        """The list of now; made once for each index."""
         if self.whole[0] != self.index:
             self.whole = (self.index, message(self.index, True, self.entries.values()))
         return self.whole[1]
 
     def start_watch(self, call: Call, since: int) -> None:
+        """Begin a watch with what has changed since an index, or with the whole list."""
         if call.transport is None:
             return
         if self.oldest <= since <= self.index:
@@ -173,6 +205,7 @@
         self.watches[call] = None
 
     def keep_alive(self) -> None:
+        """Send an empty line to all watches, now and again."""
         for call in self.watches:
             call.write(chunk(b"\n"))
         self.loop.call_later(EMPTY_LINE_S, self.keep_alive)
@@ -180,9 +213,9 @@
     # Changes
 
     def change(self, numbers: Iterable[tuple[int, str]], restarted: bool) -> int:
-        """Tell all watches in one message; returns when the first was written: nanoseconds, monotonic."""
+        """Notify all watches in one message; returns when the first was written: nanoseconds, monotonic."""
         self.index += 1
-        told = []
+        changed = []
         for number, status in numbers:
             entry = dict(self.entries.get(number, self.template[number]), status=status)
             if status == "active" and restarted:
@@ -191,20 +224,16 @@
                 self.entries.pop(number, None)
             else:
                 self.entries[number] = entry
-            told.append(entry)
+            changed.append(entry)
             self.changes.append((self.index, number, entry))
-        line = chunk(message(self.index, False, told) + b"\n")
+        line = chunk(message(self.index, False, changed) + b"\n")
         at_ns = time.monotonic_ns()
         for call in self.watches:
             call.write(line)
             self.stats[call.side]["messages"] += 1
-        for entry in told if restarted else ():  # a probe's are seen at the stand-ins
-            known_as = (
-                endpoint_id_of(entry["name"]),
-                STATUSES[entry["status"]].value,
-                entry["since_ms"] * 1000,
-            )
-            self.written.append((*known_as, at_ns))
+        for entry in changed if restarted else ():  # a probe's are seen at the stand-ins
+            known_id, status = endpoint_id_of(entry["name"]), STATUSES[entry["status"]].value
+            self.written.append(WrittenChange(known_id, status, entry["since_ms"] * 1000, at_ns))
         return at_ns
 
     def restore(self) -> None:
@@ -213,7 +242,7 @@
         if away:
             self.change(((n, "active") for n in away), restarted=True)
 
-    async def play(self, changes: list[tuple[float, str, list[int]]], start_ns: int) -> None:
+    async def play(self, changes: list[TimedChange], start_ns: int) -> None:
         """Carry out (seconds after the start, what, servers), each at its time."""
         for at_s, what, numbers in changes:
             wait_s = start_ns / 1e9 + at_s - time.monotonic()
@@ -227,44 +256,51 @@
             else:
                 self.change(((n, what) for n in numbers if n < len(self.template)), restarted=True)
 
-    async def handle(self, order: Order) -> Any:
-        match order["do"]:
-            case "listen":
+    async def handle(self, command: RegistryCommand) -> Any:
+        """Carry out a command; returns its answer."""
+        match command:
+            case ListenForCalls():
                 self.keep_alive()
                 return await self.listen()
-            case "fleet":
-                self.set_fleet(order["servers"], order["port"])
-                return {"index": self.index, "bytes": len(self.whole_list())}
-            case "play":
-                self.playing = self.loop.create_task(self.play(order["changes"], order["start_ns"]))
-                return None
-            case "played":
+            case SetFleet():
+                self.set_fleet(command.endpoints, command.port)
+                return ListState(self.index, len(self.whole_list()))
+            case PlayChanges():
+                self.playing = self.loop.create_task(self.play(command.changes, command.start_ns))
+            case AwaitChanges():
                 await self.playing
-                return None
-            case "restore":
-                return self.restore()
-            case "change":
-                return self.change([(order["server"], order["status"])], restarted=False)
-            case "written":
+            case RestoreEndpoints():
+                self.restore()
+            case ChangeStatus():
+                return self.change([(command.endpoint, command.status)], restarted=False)
+            case TakeWritten():
                 written, self.written = self.written, []
                 return written
-            case "stats":
-                counts = dict.fromkeys(LISTENS, 0)
-                for call in self.watches:
-                    counts[call.side] += 1
-                sides = {side: {**stats, "watches": counts[side]} for side, stats in self.stats.items()}
-                return {"index": self.index, "late": self.late.text(), "sides": sides}
-        raise ValueError(f"unknown order {order['do']!r}")
+            case ReadRegistryStats():
+                return self.read_stats()
+            case _:
+                assert_never(command)
+        return None
+
+    def read_stats(self) -> RegistryStats:
+        """The counters, by kind of gateways."""
+        watches = dict.fromkeys(LISTEN_HOSTS, 0)
+        for call in self.watches:
+            watches[call.side] += 1
+        sides = {side: RegistryCounters(**stats, watches=watches[side]) for side, stats in self.stats.items()}
+        return RegistryStats(self.index, self.late.text(), sides)
 
 
 def message(index: int, whole: bool, entries: Iterable[fleet.EndpointEntry]) -> bytes:
+    """A list or a change as gateways are sent it."""
     raw = {"index": index, "snapshot": whole, "endpoints": list(entries)}
     return json.dumps(raw, separators=(",", ":")).encode()
 
 
-def make() -> Handler:
+def create_handler() -> Handler[RegistryCommand]:
+    """The handler of commands, on the running event loop."""
     return Registry(asyncio.get_running_loop()).handle
 
 
 if __name__ == "__main__":
-    obey(make)
+    serve(create_handler, RegistryCommand)
--- a/lab/reload.py
+++ b/lab/reload.py
@@ -6,23 +6,25 @@
 import json
 import math
 import os
-import platform
 import signal
 import time
 from collections.abc import Iterator
-from dataclasses import asdict, dataclass
 from pathlib import Path
 from typing import Any
 
-import psutil
+import msgspec
 
-from lab import fit, scale
-from lab.changes import Change, Document, changes, fetch
+from lab import fit, records
+from lab.changes import Change, Document, changes
 from lab.child import Hist
 from lab.clients import ask_bytes
-from lab.processes import Child, Children, OverBound
-from lab.report import check_schedule, number
-from lab.scale import WARM_S, Gateway, Say
+from lab.figures import check_schedule, machine
+from lab.messages import MeasureChanges, StartPolling, StopPolling
+from lab.processes import Children, MemoryBoundError
+from lab.readiness import fetch
+from lab.report import NO_FIGURES, number, problem_notes
+from lab.rig import RealGateway, ReportProgress, Rig
+from lab.scale import WARM_S
 from lab.tables import table
 
 DAY_S = 86_400
@@ -37,19 +39,20 @@
 ALONE = 5  # changes whose processor time is counted, with nothing else under way
 ALONE_S = 0.2  # for each, at least
 ALONE_TIMES = 3.0  # as long as the slowest change so far
-HOLLOW_CHANGES = 100  # at most, the first ones
+MAX_SIMULATED_CHANGES = 100  # the first ones
 FIRST_PROBE = 1 << 60  # request ids that no client has
 
 LATENCIES = ("p50_ms", "p99_ms", "most_ms")
 
 
-@dataclass(frozen=True)
-class Plan:
+class Plan(msgspec.Struct, frozen=True, kw_only=True):
+    """A run's sizes; result.json holds them under their encoded names."""
+
     servers: int
     routes: int
     tenants: int
     real: int
-    hollow: int
+    simulated: int = msgspec.field(name="hollow")
     rate: float  # requests a second to each real gateway, and as many straight
     seconds: float  # of requests without changes, and as long with them
     every_s: float  # between two changes while requests go on
@@ -65,24 +68,36 @@
 
     @property
     def lasts_s(self) -> float:
+        """Seconds of requests, once with changes and once without."""
         return max(self.seconds, self.among * self.every_s) + WARM_S
 
 
+def make_scale_plan(plan: Plan) -> records.Plan:
+    """The sizes of the parts that are in common."""
+    return records.Plan(
+        servers=plan.servers,
+        routes=plan.routes,
+        tenants=plan.tenants,
+        simulated=plan.simulated,
+        real=plan.real,
+        seed=plan.seed,
+        rate=plan.rate * plan.real,
+        simulated_rate=0.0,
+        seconds=plan.lasts_s,
+        sweep_s=0.0,
+        scenarios=(),
+        memory_mb=plan.memory_mb,
+        late_ms=plan.late_ms,
+    )
+
+
 class Reload:
-    """The parts of a run; those that it has in common with `lab scale` are that one's."""
-
-    def __init__(self, plan: Plan, children: Children, out: Path, say: Say) -> None:
-        self.plan, self.say = plan, say
-        self.run = scale.Run(
-            scale.Plan(
-                servers=plan.servers, routes=plan.routes, tenants=plan.tenants, hollow=plan.hollow,
-                real=plan.real, seed=plan.seed, rate=plan.rate * plan.real, hollow_rate=0.0,
-                seconds=plan.lasts_s, sweep_s=0.0, scenarios=(), memory_mb=plan.memory_mb,
-                late_ms=plan.late_ms,
-            ),
-            children, out, say,
-        )  # fmt: skip
-        self.coming: Iterator[Change] = iter(
+    """The parts of a run; those that it has in common with `lab scale` are the rig's."""
+
+    def __init__(self, plan: Plan, children: Children, out: Path, report_progress: ReportProgress) -> None:
+        self.plan, self.report_progress = plan, report_progress
+        self.rig = Rig(make_scale_plan(plan), children, out, report_progress)
+        self.upcoming: Iterator[Change] = iter(
             changes(plan.seed, plan.tenants, plan.among + ALONE + plan.changes)
         )
         self.documents: dict[Path, Document] = {}
@@ -92,23 +107,25 @@
         self.renamed_ns = 0
 
     async def open(self) -> None:
-        run = self.run
-        await run.open()
-        await run.set_fleet(self.plan.servers)
-        await run.start_reals()
-        self.pulse = await run.children.start("pulse", "lab.changes")
-        for gateway in run.reals:
+        """Start all processes, and read the gateways' files."""
+        rig = self.rig
+        await rig.open()
+        await rig.set_fleet(self.plan.servers)
+        await rig.start_reals()
+        self.poller = await rig.children.start("pulse", "lab.changes")
+        for gateway in rig.reals:
             path = self.path(gateway)
             self.documents[path] = Document(json.loads(path.read_text(encoding="utf-8")))
 
-    def path(self, gateway: Gateway) -> Path:
-        return self.run.out / "logs" / f"{gateway.child.name}.json"
+    def path(self, gateway: RealGateway) -> Path:
+        """The gateway's configuration file."""
+        return self.rig.out / "logs" / f"{gateway.child.name}.json"
 
     # A change
 
     async def write(self) -> Change:
-        """The next change stands in each gateway's file; none has been told of it."""
-        change = next(self.coming)
+        """Write the next change to each gateway's file; none has been signalled."""
+        change = next(self.upcoming)
         for path, document in self.documents.items():
             document.apply(change)
             self.file_bytes = document.write(path.with_suffix(".new"))
@@ -117,27 +134,27 @@
             self.renamed_ns = time.perf_counter_ns()
         return change
 
-    def signal(self, gateway: Gateway) -> int:
-        """The gateway is told; when it was."""
+    def signal(self, gateway: RealGateway) -> int:
+        """Let the gateway read its file; returns when, in nanoseconds."""
         gateway.child.check()
-        told_ns = time.perf_counter_ns()
+        signalled_ns = time.perf_counter_ns()
         os.kill(gateway.child.process.pid, signal.SIGHUP)
-        return told_ns
+        return signalled_ns
 
     async def take(self, hists: dict[str, Hist]) -> None:
         """One change at every gateway, until it is in force at all."""
         change = await self.write()
-        await asyncio.gather(*(self.watch(gateway, change, hists) for gateway in self.run.reals))
+        await asyncio.gather(*(self.watch(gateway, change, hists) for gateway in self.rig.reals))
 
-    async def watch(self, gateway: Gateway, change: Change, hists: dict[str, Hist]) -> None:
+    async def watch(self, gateway: RealGateway, change: Change, hists: dict[str, Hist]) -> None:
         """Asks for the tenant every millisecond from the signal on, on a connection of its own."""
         before, after = (400, 200) if change.added else (200, 400)
         reader, writer = await asyncio.open_connection(*gateway.address)
         try:
             async with asyncio.timeout(IN_FORCE_S):
                 if (status := (await self.ask(reader, writer, change))[0]) != before:
-                    self.run.broken.append(f"{before} expected before a change, got {status}")
-                told_ns = self.signal(gateway)
+                    self.rig.problems.broken.append(f"{before} expected before a change, got {status}")
+                signalled_ns = self.signal(gateway)
                 while True:
                     status, asked_ns = await self.ask(reader, writer, change)
                     if status == after:
@@ -145,17 +162,17 @@
                     await asyncio.sleep(POLL_S)
         except TimeoutError:
             gateway.child.check()
-            self.run.broken.append(f"a change was not in force within {IN_FORCE_S:g} s")
+            self.rig.problems.broken.append(f"a change was not in force within {IN_FORCE_S:g} s")
             return
         finally:
             writer.close()
         done_ns = time.perf_counter_ns()
-        self.slowest_s = max(self.slowest_s, (done_ns - told_ns) / 1e9)
+        self.slowest_s = max(self.slowest_s, (done_ns - signalled_ns) / 1e9)
         for what, ns in (
             ("from_rename", done_ns - self.renamed_ns),  # of the last gateway's file
-            ("from_signal", done_ns - told_ns),
-            ("from_signal_to_asked", max(0, asked_ns - told_ns)),  # the first that was answered so
-            ("added_from_signal" if change.added else "dropped_from_signal", done_ns - told_ns),
+            ("from_signal", done_ns - signalled_ns),
+            ("from_signal_to_asked", max(0, asked_ns - signalled_ns)),  # the first that was answered so
+            ("added_from_signal" if change.added else "dropped_from_signal", done_ns - signalled_ns),
         ):
             hists.setdefault(what, Hist()).add(ns / 1e3)
 
@@ -172,32 +189,32 @@
 
     async def with_clients(self, every_s: float | None) -> dict[str, Any]:
         """Requests for a while, through the gateways and straight; with changes, or without."""
-        plan, run, hists = self.plan, self.run, dict[str, Hist]()
-        played = await run.play_clients(
-            run.reals, plan.rate * plan.real, plan.lasts_s, plan.routes, plan.tenants, warm=WARM_S
+        plan, rig, hists = self.plan, self.rig, dict[str, Hist]()
+        finish = await rig.play_clients(
+            rig.reals, plan.rate * plan.real, plan.lasts_s, plan.routes, plan.tenants, warm=WARM_S
         )
         begins = time.monotonic() + WARM_S
-        await self.pulse.ask("pulse", gateways=[gateway.address for gateway in run.reals])
+        await self.poller.ask(StartPolling(gateways=[gateway.address for gateway in rig.reals]))
         for n in range(plan.among if every_s else 0):
             await asyncio.sleep(max(0.0, begins + (n + 0.25) * plan.every_s - time.monotonic()))
             await self.take(hists)
-        sides = await played()
+        targets = await finish()
         found: dict[str, Any] = {
-            side: {**(Hist(told["latency"]).summary() or {}), "answers": told["counts"]}
-            for side, told in sides.items()
+            name: {**(Hist(target.latency).summary() or {}), "answers": target.counts}
+            for name, target in targets.items()
         }
-        found["loop"] = Hist(await self.pulse.ask("still")).summary()
+        found["loop"] = Hist(await self.poller.ask(StopPolling())).summary()
         return found | ({"in_force": summaries(hists)} if every_s else {})
 
     async def alone(self) -> dict[str, Any]:
         """Processor time of a change with no request under way, and no look until it is over."""
-        reals, spent, idle = self.run.reals, list[float](), list[float]()
+        reals, spent, idle = self.rig.reals, list[float](), list[float]()
         for _ in range(ALONE):
             wait_s = max(ALONE_S, ALONE_TIMES * self.slowest_s)
             change = await self.write()
-            for told, into in ((False, idle), (True, spent)):
+            for signals, into in ((False, idle), (True, spent)):
                 before = [gateway.child.cpu_s() for gateway in reals]
-                if told:
+                if signals:
                     for gateway in reals:
                         self.signal(gateway)
                 await asyncio.sleep(wait_s)
@@ -205,7 +222,7 @@
             for gateway in reals:
                 reader, writer = await asyncio.open_connection(*gateway.address)
                 if (await self.ask(reader, writer, change))[0] != (200 if change.added else 400):
-                    self.run.broken.append(f"a change was not in force after {wait_s:g} s")
+                    self.rig.problems.broken.append(f"a change was not in force after {wait_s:g} s")
                 writer.close()
         each_s = (sum(spent) - sum(idle)) / len(spent)
         share = DAILY * TIMES * GATEWAYS * each_s / DAY_S
@@ -223,24 +240,24 @@
 
     async def many(self) -> dict[str, Any]:
         """Changes one after the other without a wait; the memory that each gateway holds in between."""
-        plan, run, hists = self.plan, self.run, dict[str, Hist]()
+        plan, rig, hists = self.plan, self.rig, dict[str, Hist]()
         every = max(1, plan.changes // SAMPLES)
-        held: dict[str, list[int]] = {g.child.name: [g.child.resident()] for g in run.reals}
-        counts, began, before = [0], time.monotonic(), sum(g.child.cpu_s() for g in run.reals)
+        held: dict[str, list[int]] = {g.child.name: [g.child.resident()] for g in rig.reals}
+        counts, began, before = [0], time.monotonic(), sum(g.child.cpu_s() for g in rig.reals)
         for n in range(1, plan.changes + 1):
             await self.take(hists)
             if n % every == 0:
                 counts.append(n)
-                for gateway in run.reals:
+                for gateway in rig.reals:
                     held[gateway.child.name].append(gateway.child.resident())
-                self.say(f"{n} changes")
-        cpu_s = sum(g.child.cpu_s() for g in run.reals) - before
+                self.report_progress(f"{n} changes")
+        cpu_s = sum(g.child.cpu_s() for g in rig.reals) - before
         warm = next((k for k, count in enumerate(counts) if count >= plan.changes / 10), 0)
         return {
             "changes": plan.changes,
             "took_s": time.monotonic() - began,
             "in_force": summaries(hists),
-            "cpu_s_each_with_polls": cpu_s / plan.changes / len(run.reals),
+            "cpu_s_each_with_polls": cpu_s / plan.changes / len(rig.reals),
             "memory": {
                 name: {
                     "first_bytes": bytes_[0],
@@ -252,22 +269,24 @@
             },
         }
 
-    async def hollow(self) -> dict[str, Any]:
+    async def simulated(self) -> dict[str, Any]:
+        """The same changes at simulated gateways, step by step."""
         plan = self.plan
-        path, _ = self.run.write_config("hollow", plan.servers, plan.routes, plan.tenants, 0, plan.real)
-        child: Child = await self.run.children.start("hollow", "lab.changes")
-        found: dict[str, Any] = await child.ask(
-            "hollow",
+        path, _ = self.rig.write_config("hollow", plan.servers, plan.routes, plan.tenants, 0, plan.real)
+        child = await self.rig.children.start("hollow", "lab.changes")
+        command = MeasureChanges(
             path=str(path.resolve()),
-            count=plan.hollow,
+            count=plan.simulated,
             seed=plan.seed,
             tenants=plan.tenants,
-            changes=min(plan.changes, HOLLOW_CHANGES),
+            changes=min(plan.changes, MAX_SIMULATED_CHANGES),
         )
+        found: dict[str, Any] = msgspec.to_builtins(await child.ask(command))
         return found
 
 
 def summaries(hists: dict[str, Hist]) -> dict[str, Any]:
+    """The summary of each histogram."""
     return {what: hist.summary() for what, hist in hists.items()}
 
 
@@ -284,85 +303,92 @@
     return {"added": added, "pause_over_5_ms": most[0] > PAUSE_MS, "loop_over_5_ms": most[1] > PAUSE_MS}
 
 
-async def play(plan: Plan, out: Path, say: Say) -> dict[str, Any]:
+async def play(plan: Plan, out: Path, report_progress: ReportProgress) -> dict[str, Any]:
     """The whole run; every child has ended when it returns, also by an exception."""
     began, figures = time.monotonic(), dict[str, Any]()
     logs = out / "logs"
     logs.mkdir(parents=True, exist_ok=True)
     async with Children(plan.memory_mb, logs) as children:
-        it = Reload(plan, children, out, say)
+        it = Reload(plan, children, out, report_progress)
         try:
             await it.open()
-            say(f"requests without changes: {plan.lasts_s:g} s")
+            report_progress(f"requests without changes: {plan.lasts_s:g} s")
             quiet = figures["quiet"] = await it.with_clients(None)
-            say(f"requests and {plan.among} changes: {plan.lasts_s:g} s")
+            report_progress(f"requests and {plan.among} changes: {plan.lasts_s:g} s")
             changed = figures["changes"] = await it.with_clients(plan.every_s)
             changed["count"], changed["every_s"] = plan.among, plan.every_s
             changed["a_day"] = DAY_S / plan.every_s
             changed["times_daily"] = DAY_S / plan.every_s / DAILY
             figures |= compare(quiet, changed)
-            say(f"{ALONE} changes alone")
+            report_progress(f"{ALONE} changes alone")
             figures["alone"] = await it.alone()
-            say(f"{plan.changes} changes one after the other")
+            report_progress(f"{plan.changes} changes one after the other")
             figures["many"] = await it.many()
-            say(f"{plan.hollow} hollow gateways")
-            figures["hollow"] = await it.hollow()
-        except OverBound as error:
-            it.run.over.append(str(error))
-        kept = check_schedule(it.run)
+            report_progress(f"{plan.simulated} hollow gateways")
+            figures["hollow"] = await it.simulated()
+        except MemoryBoundError as error:
+            it.rig.problems.over_bound.append(str(error))
+        kept = check_schedule(it.rig.problems, plan.late_ms)
         return {
-            "plan": asdict(plan),
-            "machine": {
-                "cores": psutil.cpu_count(),
-                "memory_mb": int(psutil.virtual_memory().total / 1e6),
-                "python": platform.python_version(),
-            },
+            "plan": msgspec.to_builtins(plan),
+            "machine": machine(),
             "took_s": time.monotonic() - began,
             "schedule": kept,
-            "over_bound": it.run.over,
-            "broken": list(dict.fromkeys(it.run.broken)),
+            "over_bound": it.rig.problems.over_bound,
+            "broken": list(dict.fromkeys(it.rig.problems.broken)),
             "memory_most_mb": children.most_bytes / 1e6,
             "figures" if kept["kept"] else "void": figures,
         }
 
 
+TARGET_TITLES = (("gateway", "requests"), ("direct", "straight"), ("loop", "loop alone"))
+MEMORY_TITLES = (("first", "first_bytes"), ("a tenth", "after_a_tenth_bytes"), ("last", "last_bytes"))
 COLUMNS = ("what", "count", "p50 ms", "p99", "most", "processor most")
 
 
 def report(found: dict[str, Any]) -> str:
     """The table; an overloaded rig has no figures, only the reasons."""
-    notes = [
-        *(f"over the bound: {name}" for name in found["over_bound"]),
-        *(f"broken: {what}" for what in found["broken"]),
-        *(f"the schedule was not kept: {why}" for why in found["schedule"]["why"]),
-    ]
+    notes = problem_notes(found)
     figures = found.get("figures")
     if figures is None:
-        return "\n".join([*notes, "no figures: they are those of an overloaded rig"])
-    rows: list[list[str]] = []
-
-    def row(what: str, hist: dict[str, Any] | None) -> None:
-        hist = hist or {}
-        rows.append(
-            [
-                what,
-                str(hist.get("count", "-")),
-                *(number(hist.get(key)) for key in (*LATENCIES, "most_cpu_ms")),
-            ]
-        )
+        return "\n".join([*notes, NO_FIGURES])
+    rows = [*request_rows(figures), *change_rows(figures)]
+    return "\n".join([table(COLUMNS, rows), *notes, *pace_notes(figures), *memory_notes(figures)])
+
+
+def row(what: str, summary: dict[str, Any] | None) -> list[str]:
+    """A line on a latency."""
+    found = summary or {}
+    cells = [number(found.get(key)) for key in (*LATENCIES, "most_cpu_ms")]
+    return [what, str(found.get("count", "-")), *cells]
+
+
+def request_rows(figures: dict[str, Any]) -> list[list[str]]:
+    """Lines on requests with and without changes, and on the difference."""
+    rows = [
+        row(f"{title} {when}", figures[phase][who])
+        for phase, when in (("quiet", "without changes"), ("changes", "with changes"))
+        for who, title in TARGET_TITLES
+        if phase in figures
+    ]
+    added = figures.get("added", {})
+    return rows + [row(f"{title}: added", added[who]) for who, title in TARGET_TITLES if who in added]
+
+
+def change_rows(figures: dict[str, Any]) -> list[list[str]]:
+    """Lines on how soon changes were in force, and on their steps at simulated gateways."""
+    rows = [
+        row(f"in force {what.replace('_', ' ')}, {title}", summary)
+        for phase, title in (("changes", "with requests"), ("many", "one after the other"))
+        for what, summary in figures.get(phase, {}).get("in_force", {}).items()
+    ]
+    steps = figures.get("hollow", {}).get("steps", {})
+    return rows + [row(f"hollow: {name}", step) for name, step in steps.items()]
+
 
-    for phase, called in (("quiet", "without changes"), ("changes", "with changes")):
-        for who, title in (("gateway", "requests"), ("direct", "straight"), ("loop", "loop alone")):
-            if phase in figures:
-                row(f"{title} {called}", figures[phase][who])
-    for who, title in (("gateway", "requests"), ("direct", "straight"), ("loop", "loop alone")):
-        if who in figures.get("added", {}):
-            row(f"{title}: added", figures["added"][who])
-    for phase, title in (("changes", "with requests"), ("many", "one after the other")):
-        for what, hist in figures.get(phase, {}).get("in_force", {}).items():
-            row(f"in force {what.replace('_', ' ')}, {title}", hist)
-    for name, step in figures.get("hollow", {}).get("steps", {}).items():
-        row(f"hollow: {name}", step)
+def pace_notes(figures: dict[str, Any]) -> list[str]:
+    """What changes cost in pauses and processor time."""
+    notes = []
     if "pause_over_5_ms" in figures:
         day = figures["changes"]
         notes.append(f"changes every {day['every_s']:g} s: {number(day['times_daily'])} times the daily rate")
@@ -370,30 +396,25 @@
         notes.append(f"loop_over_5_ms: {str(figures['loop_over_5_ms']).lower()}")
     if "alone" in figures:
         cost = figures["alone"]
-        notes.append(
-            f"processor a change: {cost['cpu_s_each'] * 1e3:.1f} ms; file: {cost['file_bytes']} bytes"
-        )
+        each_ms = cost["cpu_s_each"] * 1e3
+        notes.append(f"processor a change: {each_ms:.1f} ms; file: {cost['file_bytes']} bytes")
         notes.append(cost["arithmetic"])
+    return notes
+
+
+def memory_notes(figures: dict[str, Any]) -> list[str]:
+    """The memory of each gateway, before and after changes."""
+    notes = []
     for name, held in figures.get("many", {}).get("memory", {}).items():
-        steps = ", ".join(
-            f"{title} {held[key] / 1e6:.1f} MB"
-            for title, key in (
-                ("first", "first_bytes"),
-                ("a tenth", "after_a_tenth_bytes"),
-                ("last", "last_bytes"),
-            )
-        )
-        line = held["line"]
-        slope = (
-            "too few samples"
-            if line is None
-            else (f"{line['slope']:.0f} bytes a change (residual {line['residual']:.0f} bytes)")
-        )
+        steps = ", ".join(f"{title} {held[key] / 1e6:.1f} MB" for title, key in MEMORY_TITLES)
+        line, slope = held["line"], "too few samples"
+        if line is not None:
+            slope = f"{line['slope']:.0f} bytes a change (residual {line['residual']:.0f} bytes)"
         notes.append(f"memory of {name}: {steps}; {slope}")
     if "hollow" in figures:
-        crowd = figures["hollow"]
+        simulated = figures["hollow"]
         notes.append(
-            f"memory of a hollow gateway: {crowd['bytes_each'] / 1e6:.1f} MB, "
-            f"{crowd['bytes_each_after'] / 1e6:.1f} MB after {crowd['changes']} changes"
+            f"memory of a hollow gateway: {simulated['bytes_each'] / 1e6:.1f} MB, "
+            f"{simulated['bytes_each_after'] / 1e6:.1f} MB after {simulated['changes']} changes"
         )
-    return "\n".join([table(COLUMNS, rows), *notes])
+    return notes
--- a/lab/schedule.py
+++ b/lab/schedule.py
@@ -129,8 +129,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClientRequest:
-    """Requests of clients, or of one process of hollow gateways: equal lengths, in order of time."""
+class RequestSchedule:
+    """Requests of clients, or of one process of simulated gateways: equal lengths, in order of time."""
 
     times_s: list[float]
     routes: list[int]
@@ -140,10 +140,11 @@
 
 def requests(
     seed: int, concern: str, rate_per_s: float, seconds: float, routes: int, tenants: int, targets: int
-) -> ClientRequest:
+) -> RequestSchedule:
+    """Requests at random times, routes and tenants, as `concern` has them with this seed."""
     rng = stream(seed, concern)
     times = arrivals(rng, rate_per_s, seconds)
-    return ClientRequest(
+    return RequestSchedule(
         times.tolist(),
         zipf(rng, routes, len(times)).tolist(),
         zipf(rng, tenants, len(times)).tolist(),
--- a/lab/hollow.py
+++ b/lab/simulated_gateways.py
@@ -1,4 +1,4 @@
-"""Hollow gateways: the real Discovery and Balancer, many in a process, with seeded requests and outcomes.
+"""Simulated gateways: the real Discovery and Balancer, many in a process, with seeded requests and outcomes.
 
 Instead of client sockets and connections to servers there are a schedule and a clock. What the balancer asks
 of discovery and of timers is carried out as the real gateway does it.
@@ -13,12 +13,23 @@
 from collections import deque
 from dataclasses import replace
 from pathlib import Path
-from typing import Any
+from typing import Any, assert_never
 
 import psutil
 
 from lab import fleet, schedule
-from lab.child import Handler, Hist, Order, obey
+from lab.child import Handler, Hist, serve
+from lab.messages import (
+    AddGateways,
+    InForce,
+    MeasureInForce,
+    PoolCommand,
+    PoolStats,
+    ReadConfig,
+    ReadPoolStats,
+    StartRequests,
+    WrittenChange,
+)
 from load_balancer.config.file import Config, parse_config
 from load_balancer.decisions.actions import (
     Action,
@@ -36,21 +47,23 @@
 from load_balancer.gateway.discovery import DiscoveryClient, WatchEvent
 from load_balancer.gateway.proxy import Clock
 
-PATIENCE_US = 2_000_000
+TIMEOUT_US = 2_000_000
 ANSWER_S = 0.005
-FAILING = 0.03
+ERROR_SHARE = 0.03
 PLANNED_S = 1.0  # of requests planned at a time
 DRAWS = 4096
 
-Known = tuple[int, str, int]  # host's id, status, start: one change
+KnownChange = tuple[int, str, int]  # endpoint's id, status, start in us
+
 
+class SimulatedGateway:
+    """One gateway: its Balancer and its client of discovery."""
 
-class Hollow:
-    def __init__(self, crowd: Crowd, config: Config, seed: int) -> None:
-        self.crowd = crowd
+    def __init__(self, pool: GatewayPool, config: Config, seed: int) -> None:
+        self.pool = pool
         self.balancer = Balancer(config.settings, seed)
         self.discovery = DiscoveryClient(
-            crowd.loop, config.discovery, config.names, config.settings.endpoints_are_pushed, self.on_news
+            pool.loop, config.discovery, config.names, config.settings.endpoints_are_pushed, self.receive
         )
         self.events: deque[Event] = deque()
         self.busy = False
@@ -59,45 +72,48 @@
         self.began_ns = time.monotonic_ns()
         self.lists = 0
 
-    def on_news(self, news: WatchEvent) -> None:
-        event = news.event()
+    def receive(self, message: WatchEvent) -> None:
+        """Deliver what discovery sends, and note when it is in force."""
+        event = message.event()
         began = time.perf_counter_ns()
-        self.feed(event)
+        self.deliver(event)
         done_ns = time.monotonic_ns()
         if not event.endpoints:
             if self.lists:
                 return
         else:
-            self.crowd.list_time.add((time.perf_counter_ns() - began) / 1e3)
+            self.pool.list_time.add((time.perf_counter_ns() - began) / 1e3)
         self.lists += 1
         if self.lists == 1:  # the list as last held, which the real gateway calls ready
-            self.crowd.ready.add((done_ns - self.began_ns) / 1e3)
+            self.pool.ready.add((done_ns - self.began_ns) / 1e3)
             return
         for server in event.endpoints if event.kind is ListKind.DELTA else ():
             key = (server.id, server.status.value, server.started_us)
-            self.crowd.heard.setdefault(key, []).append(done_ns)
+            self.pool.received.setdefault(key, []).append(done_ns)
 
-    def feed(self, event: Event) -> None:
+    def deliver(self, event: Event) -> None:
+        """Give an event to the Balancer and execute what it decides."""
         self.events.append(event)
         if self.busy:
             return
         self.busy = True
         try:
             while self.events:
-                for action in self.balancer.handle(self.crowd.clock.now_us(), self.events.popleft()):
-                    self.carry_out(action)
+                for action in self.balancer.handle(self.pool.clock.now_us(), self.events.popleft()):
+                    self.execute(action)
         finally:
             self.busy = False
 
-    def carry_out(self, action: Action) -> None:
-        loop, counts = self.crowd.loop, self.crowd.counts
+    def execute(self, action: Action) -> None:
+        """Execute an action as the real gateway does, but for connections and clients."""
+        loop, counts = self.pool.loop, self.pool.counts
         match action:
             case Send():
                 counts["sent"] += 1
                 attempts = self.attempts.setdefault(action.request_id, [])
-                answer_s, outcome = self.crowd.draw()
+                answer_s, outcome = self.pool.draw()
                 timer = loop.call_later(
-                    answer_s, self.ended, action.request_id, len(attempts), outcome, int(answer_s * 1e6)
+                    answer_s, self.end_attempt, action.request_id, len(attempts), outcome, int(answer_s * 1e6)
                 )
                 self.servers[action.request_id, len(attempts)] = action.endpoint_id
                 attempts.append(timer)
@@ -105,47 +121,52 @@
                 timer_or_none = self.attempts.get(action.request_id, [])[action.attempt]
                 if timer_or_none is not None:
                     timer_or_none.cancel()
-                    loop.call_soon(self.ended, action.request_id, action.attempt, Outcome.CANCELLED, 0)
+                    loop.call_soon(self.end_attempt, action.request_id, action.attempt, Outcome.CANCELLED, 0)
             case Reject() | Fail():
                 counts["refused" if isinstance(action, Reject) else "failed"] += 1
-                self.forget_if_over(action.request_id)
+                self.forget_if_ended(action.request_id)
             case SetTimer():
-                delay_us = action.due_us - self.crowd.clock.now_us()
-                loop.call_later(max(0, delay_us) / 1e6, self.feed, TimerFired(action.token))
+                delay_us = action.due_us - self.pool.clock.now_us()
+                loop.call_later(max(0, delay_us) / 1e6, self.deliver, TimerFired(action.token))
             case SubscribeEndpoints():
                 self.discovery.watch(action.active)
             case PollEndpoints():
                 self.discovery.fetch()
 
-    def ended(self, request: str, attempt: int, outcome: Outcome, latency_us: int) -> None:
+    def end_attempt(self, request: str, attempt: int, outcome: Outcome, latency_us: int) -> None:
+        """End an attempt as its draw says."""
         self.attempts[request][attempt] = None
         server = self.servers.pop((request, attempt))
         finished = outcome is Outcome.OK
-        self.crowd.counts["served"] += finished
+        self.pool.counts["served"] += finished
         began = time.perf_counter_ns()
-        self.feed(AttemptEnded(request, attempt, server, outcome, latency_us, finished))
-        self.crowd.spent_ns += time.perf_counter_ns() - began
-        self.forget_if_over(request)
+        self.deliver(AttemptEnded(request, attempt, server, outcome, latency_us, finished))
+        self.pool.spent_ns += time.perf_counter_ns() - began
+        self.forget_if_ended(request)
 
-    def forget_if_over(self, request: str) -> None:
+    def forget_if_ended(self, request: str) -> None:
+        """Drop a request that has no attempt in flight."""
         if not any(self.attempts.get(request, ())):
             self.attempts.pop(request, None)
 
 
-class Crowd:
+class GatewayPool:
+    """The gateways of one process, the requests to them and what they have received."""
+
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
         self.clock = Clock()
-        self.gateways: list[Hollow] = []
+        self.gateways: list[SimulatedGateway] = []
         self.config: Config | None = None
-        self.heard: dict[Known, list[int]] = {}
+        self.received: dict[KnownChange, list[int]] = {}
         self.ready, self.list_time, self.late = Hist(), Hist(), Hist()
         self.counts = dict.fromkeys(("asked", "sent", "served", "refused", "failed"), 0)
         self.spent_ns = 0
         self.draws: list[tuple[float, Outcome]] = []
-        self.pump: asyncio.Task[None] | None = None
+        self.requests: asyncio.Task[None] | None = None
 
     def draw(self) -> tuple[float, Outcome]:
+        """Seconds until the next attempt ends, and how."""
         return self.draws[self.counts["sent"] % len(self.draws)]
 
     def read(self, path: str, address: str, seed: int) -> None:
@@ -154,22 +175,23 @@
         self.config = parse_config(raw | {"discovery": address})
         rng = schedule.stream(seed, "outcomes")
         times = (ANSWER_S * (0.5 + rng.gamma(4.0, 0.125, DRAWS))).tolist()
-        failing = (rng.random(DRAWS) < FAILING).tolist()
+        failing = (rng.random(DRAWS) < ERROR_SHARE).tolist()
         self.draws = [
             (s, Outcome.ERROR if fails else Outcome.OK) for s, fails in zip(times, failing, strict=True)
         ]
 
     async def add(self, count: int, first: int, seed: int) -> None:
+        """Start more gateways, numbered from `first`."""
         assert self.config is not None
         for number in range(first, first + count):
             settings = replace(self.config.settings, gateway_index=number, zone=number % len(fleet.ZONES))
-            gateway = Hollow(self, replace(self.config, settings=settings), seed + number)
+            gateway = SimulatedGateway(self, replace(self.config, settings=settings), seed + number)
             self.gateways.append(gateway)
             gateway.discovery.start(self.config.known)
             await asyncio.sleep(0)  # what the earlier ones are told is read in between
 
-    async def ask(self, rate: float, routes: int, tenants: int, seed: int) -> None:
-        """Requests at `rate` a second to each gateway, until cancelled."""
+    async def send_requests(self, rate: float, routes: int, tenants: int, seed: int) -> None:
+        """Send requests at `rate` a second to each gateway, until cancelled."""
         start, part = time.monotonic(), 0
         while True:
             asked = schedule.requests(
@@ -189,11 +211,11 @@
                 self.late.add((time.monotonic() - start - part * PLANNED_S - at_s) * 1e6)
                 self.counts["asked"] += 1
                 began = time.perf_counter_ns()
-                self.gateways[target].feed(
+                self.gateways[target].deliver(
                     RequestArrived(
                         str(self.counts["asked"]),
                         route,
-                        PATIENCE_US,
+                        TIMEOUT_US,
                         key=self.counts["asked"] * 7919,
                         tenant=tenant,
                     )
@@ -202,61 +224,69 @@
             part += 1
             await asyncio.sleep(max(0.0, start + part * PLANNED_S - time.monotonic()))
 
-    def force(self, changes: list[tuple[int, str, int, int]]) -> dict[str, Any]:
+    def measure_in_force(self, changes: list[WrittenChange]) -> InForce:
         """From each change at discovery to its being in force, over all gateways here."""
         hist, unseen = Hist(), 0
-        for server, status, started_us, at_ns in changes:
-            heard = self.heard.get((server, status, started_us), ())
-            for done_ns in heard:
-                hist.add((done_ns - at_ns) / 1e3)
-            unseen += max(0, len(self.gateways) - len(heard))
-        self.heard.clear()
-        return {"force": hist.text(), "unseen": unseen}
+        for change in changes:
+            key = (change.endpoint_id, change.status, change.started_us)
+            received = self.received.get(key, ())
+            for done_ns in received:
+                hist.add((done_ns - change.written_ns) / 1e3)
+            unseen += max(0, len(self.gateways) - len(received))
+        self.received.clear()
+        return InForce(hist.text(), unseen)
 
-    async def stop_asking(self) -> None:
-        if self.pump is not None:
-            self.pump.cancel()
-            await asyncio.wait([self.pump])
-            if not self.pump.cancelled():
-                self.pump.result()
-            self.pump = None
+    async def stop_requests(self) -> None:
+        """Send no more requests; raises what has ended them before."""
+        if self.requests is not None:
+            self.requests.cancel()
+            await asyncio.wait([self.requests])
+            if not self.requests.cancelled():
+                self.requests.result()
+            self.requests = None
 
-    async def handle(self, order: Order) -> Any:
-        match order["do"]:
-            case "read":
-                self.read(order["path"], order["address"], order["seed"])
+    async def handle(self, command: PoolCommand) -> Any:
+        """Carry out a command; returns its answer."""
+        match command:
+            case ReadConfig():
+                self.read(command.path, command.address, command.seed)
                 return psutil.Process().memory_info().rss
-            case "add":
-                await self.stop_asking()
-                await self.add(order["count"], order["first"], order["seed"])
-                return None
-            case "ask":
-                await self.stop_asking()
+            case AddGateways():
+                await self.stop_requests()
+                await self.add(command.count, command.first, command.seed)
+            case StartRequests():
+                await self.stop_requests()
                 # A full collection would walk all the gateways here for the garbage of one.
                 gc.freeze()
-                self.pump = self.loop.create_task(
-                    self.ask(order["rate"], order["routes"], order["tenants"], order["seed"])
+                self.requests = self.loop.create_task(
+                    self.send_requests(command.rate, command.routes, command.tenants, command.seed)
                 )
-                return None
-            case "force":
-                return self.force(order["changes"])
-            case "stats":
-                if self.pump is not None and self.pump.done():
-                    self.pump.result()
-                return {
-                    "gateways": len(self.gateways),
-                    "ready": self.ready.text(),
-                    "list": self.list_time.text(),
-                    "late": self.late.text(),
-                    "counts": self.counts,
-                    "spent_ns": self.spent_ns,
-                }
-        raise ValueError(f"unknown order {order['do']!r}")
+            case MeasureInForce():
+                return self.measure_in_force(command.changes)
+            case ReadPoolStats():
+                return self.read_stats()
+            case _:
+                assert_never(command)
+        return None
+
+    def read_stats(self) -> PoolStats:
+        """The counters; raises what has ended the requests."""
+        if self.requests is not None and self.requests.done():
+            self.requests.result()
+        return PoolStats(
+            gateways=len(self.gateways),
+            ready=self.ready.text(),
+            list_read=self.list_time.text(),
+            late=self.late.text(),
+            counts=self.counts,
+            spent_ns=self.spent_ns,
+        )
 
 
-def make() -> Handler:
-    return Crowd(asyncio.get_running_loop()).handle
+def create_handler() -> Handler[PoolCommand]:
+    """The handler of commands, on the running event loop."""
+    return GatewayPool(asyncio.get_running_loop()).handle
 
 
 if __name__ == "__main__":
-    obey(make)
+    serve(create_handler, PoolCommand)
--- a/lab/statements.py
+++ b/lab/statements.py
@@ -11,12 +11,23 @@
 import socket
 import time
 from functools import partial
-from typing import Any, cast
+from typing import Any, assert_never, cast
 
 import httptools
 
 from lab import fleet, schedule
-from lab.child import Handler, Hist, Order, obey
+from lab.child import Handler, Hist, serve
+from lab.messages import (
+    Closes,
+    ListenForStatements,
+    ListIdle,
+    ReadCloses,
+    ReadStatementStats,
+    StatementCommand,
+    StatementCounters,
+    StatementStats,
+    WatchIdle,
+)
 
 REQUEST_ID = re.compile(rb"[0-9a-f]{16}")
 SERVICE_S = 0.005
@@ -27,7 +38,9 @@
 
 
 class Connection(asyncio.Protocol):
-    def __init__(self, servers: Statements, side: str) -> None:
+    """One connection to a statement server."""
+
+    def __init__(self, servers: StatementServers, side: str) -> None:
         self.servers, self.side = servers, side
         self.parser = httptools.HttpRequestParser(self)
         self.transport: asyncio.Transport | None = None
@@ -39,20 +52,24 @@
         self.headers: dict[bytes, bytes] = {}
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """See asyncio.Protocol."""
         self.transport = cast(asyncio.Transport, transport)
         self.server = fleet.number_of(self.transport.get_extra_info("sockname")[0])
         self.servers.connections[self.side].add(self)
         self.servers.stats[self.side]["connections"] += 1
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """See asyncio.Protocol."""
         self.closed_ns = time.monotonic_ns()
         self.transport = None
         self.servers.connections[self.side].discard(self)
 
     def eof_received(self) -> bool:
+        """See asyncio.Protocol."""
         return False  # who ends sending gives the attempt up
 
     def data_received(self, data: bytes) -> None:
+        """See asyncio.Protocol."""
         self.servers.stats[self.side]["bytes"] += len(data)
         try:
             self.parser.feed_data(data)
@@ -60,15 +77,19 @@
             self.abort()
 
     def on_message_begin(self) -> None:
+        """See httptools."""
         self.target, self.headers = b"", {}
 
     def on_url(self, url: bytes) -> None:
+        """See httptools."""
         self.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """See httptools."""
         self.headers[name.lower()] = value
 
     def on_message_complete(self) -> None:
+        """See httptools."""
         stats = self.servers.stats[self.side]
         number = self.headers.get(b"request-id", b"")
         if self.busy:  # one request at a time
@@ -86,11 +107,13 @@
             self.servers.loop.call_later(wait_s, self.serve, number, time.monotonic() + wait_s)
 
     def serve(self, number: bytes, due: float) -> None:
+        """Answer a request once its service time is over."""
         self.servers.late.add((time.monotonic() - due) * 1e6)
         self.busy = False
         self.answer(200, b"%b %b\n" % (number, self.target.partition(b"?")[0]))
 
     def answer(self, status: int, body: bytes) -> None:
+        """Send an answer, with a load report where it is a success."""
         if self.transport is None or self.transport.is_closing():
             return
         report = (
@@ -102,11 +125,14 @@
         self.transport.write(data)
 
     def abort(self) -> None:
+        """Close at once."""
         if self.transport is not None:
             self.transport.abort()
 
 
-class Statements:
+class StatementServers:
+    """All statement servers, and their connections by target: through gateways, and straight."""
+
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
         self.connections: dict[str, set[Connection]] = {side: set() for side in SIDES}
@@ -121,6 +147,7 @@
         return self.draws[(int(number, 16) >> 1) % len(self.draws)]
 
     async def listen(self, seed: int) -> dict[str, int]:
+        """Listen; returns the ports by target."""
         rng = schedule.stream(seed, "service")
         self.draws = (SERVICE_S * (0.5 + rng.gamma(4.0, 0.125, DRAWS))).tolist()
         ports = {}
@@ -135,6 +162,7 @@
         return ports
 
     def sweep(self) -> None:
+        """Close connections that have been idle for too long, now and again."""
         oldest_ns = time.monotonic_ns() - fleet.KEEPALIVE_US * 1000
         for side in SIDES:
             for connection in [c for c in self.connections[side] if not c.busy and c.quiet_ns < oldest_ns]:
@@ -150,35 +178,39 @@
                 idle.setdefault(connection.server, []).append(connection)
         return idle
 
-    def closes(self, server: int, since_ns: int) -> dict[str, Any]:
-        """Of the connections watched: microseconds until each was closed, and how many still stand.
+    def closes(self, endpoint: int, since_ns: int) -> Closes:
+        """What became of the watched connections of an endpoint.
 
         One that was taken for a request in between is closed after its answer, so that counts with it.
         """
-        watched = self.watched.get(server, [])
+        watched = self.watched.get(endpoint, [])
         closed = [c.closed_ns for c in watched if c.transport is None]
-        after = [(at_ns - since_ns) / 1e3 for at_ns in closed if at_ns >= since_ns]
-        return {"after_us": after, "standing": len(watched) - len(closed)}
-
-    async def handle(self, order: Order) -> Any:
-        match order["do"]:
-            case "listen":
-                return await self.listen(order["seed"])
-            case "idle":
+        after_us = [(at_ns - since_ns) / 1e3 for at_ns in closed if at_ns >= since_ns]
+        return Closes(after_us, len(watched) - len(closed))
+
+    async def handle(self, command: StatementCommand) -> Any:
+        """Carry out a command; returns its answer."""
+        match command:
+            case ListenForStatements():
+                return await self.listen(command.seed)
+            case ListIdle():
                 return sorted((server, len(found)) for server, found in self.idle().items())
-            case "watch":
-                self.watched[order["server"]] = self.idle().get(order["server"], [])
-                return len(self.watched[order["server"]])
-            case "closes":
-                return self.closes(order["server"], order["since_ns"])
-            case "stats":
-                return {"late": self.late.text(), "sides": self.stats}
-        raise ValueError(f"unknown order {order['do']!r}")
+            case WatchIdle():
+                self.watched[command.endpoint] = self.idle().get(command.endpoint, [])
+                return len(self.watched[command.endpoint])
+            case ReadCloses():
+                return self.closes(command.endpoint, command.since_ns)
+            case ReadStatementStats():
+                sides = {target: StatementCounters(**stats) for target, stats in self.stats.items()}
+                return StatementStats(self.late.text(), sides)
+            case _:
+                assert_never(command)
 
 
-def make() -> Handler:
-    return Statements(asyncio.get_running_loop()).handle
+def create_handler() -> Handler[StatementCommand]:
+    """The handler of commands, on the running event loop."""
+    return StatementServers(asyncio.get_running_loop()).handle
 
 
 if __name__ == "__main__":
-    obey(make)
+    serve(create_handler, StatementCommand)
--- a/lab/up.py
+++ b/lab/up.py
@@ -6,12 +6,12 @@
 import json
 import shlex
 import socket
-from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
+from lab.messages import Address, ListenForCalls, ListenForStatements, SetFleet
 from lab.processes import ROOT, Child, Children
-from lab.scale import is_ready
+from lab.rig import ReportProgress, is_ready
 
 EXAMPLE = ROOT / "deploy" / "example.json"
 SERVERS = 5
@@ -21,22 +21,22 @@
 POLL_S = 0.02
 REQUEST_ID = "0000000000000001"
 
-Address = tuple[str, int]
-Say = Callable[[str], None]
 
-
-async def up(raw: dict[str, Any], folder: Path, say: Say) -> None:
+async def up(raw: dict[str, Any], folder: Path, say: ReportProgress) -> None:
     """Run the deployment that a configuration's object describes until cancelled; no child outlives it.
 
     Its own addresses are put in the place of those that stand there. `say` is given one line: a command that
-    gets a 200. Raises ChildError once a child ends by itself.
+    gets a 200.
+
+    Raises:
+        ChildError: A child has ended by itself.
     """
     async with Children(MEMORY_MB, folder) as children:
         registry = await children.start("registry", "lab.registry")
         statements = await children.start("statements", "lab.statements")
-        discovery = (await registry.ask("listen"))["real"]
-        port = (await statements.ask("listen", seed=1))["gateway"]
-        await registry.ask("fleet", servers=SERVERS, port=port)
+        discovery = (await registry.ask(ListenForCalls()))["real"]
+        port = (await statements.ask(ListenForStatements(seed=1)))["gateway"]
+        await registry.ask(SetFleet(endpoints=SERVERS, port=port))
         starting = [start(children, folder, raw, discovery, number) for number in range(GATEWAYS)]
         gateways = await asyncio.gather(*starting)
         say(curl(gateways[0][1], raw["settings"]))
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -25,9 +25,10 @@
 from lab.__main__ import lab
 from lab.changes import Document, changes
 from lab.clients import ask_bytes
-from lab.processes import Children, OverBound
+from lab.messages import ListIdle, ReadRegistryStats, WatchIdle
+from lab.processes import Children, MemoryBoundError
 from lab.registry import Registry
-from lab.statements import Statements
+from lab.statements import StatementServers
 from load_balancer.config.file import parse_config
 from load_balancer.decisions.endpoint import EndpointStatus, ListKind
 from load_balancer.decisions.events import EndpointListReceived
@@ -42,7 +43,7 @@
 @dataclass
 class Rig:
     registry: Registry
-    statements: Statements
+    statements: StatementServers
     ports: dict[str, int]
     gateway: Gateway
 
@@ -56,7 +57,7 @@
 async def rig(index: int | None = None) -> AsyncIterator[Rig]:
     """The real gateway between the rig's stand-ins; it has last held the list of `index`."""
     loop = asyncio.get_running_loop()
-    registry, statements = Registry(loop), Statements(loop)
+    registry, statements = Registry(loop), StatementServers(loop)
     ports = await statements.listen(seed=1)
     address = (await registry.listen())["real"]
     registry.set_fleet(SERVERS, ports["gateway"])
@@ -168,18 +169,18 @@
             await it.listed(ListKind.DELTA)
             client = await it.gateway.client()
             await client.ask(ask_bytes(0, tenant=0, number=1))
-            ((server, count),) = await it.statements.handle({"do": "idle"})
-            assert count == await it.statements.handle({"do": "watch", "server": server}) == 1
+            ((server, count),) = await it.statements.handle(ListIdle())
+            assert count == await it.statements.handle(WatchIdle(endpoint=server)) == 1
             since_ns = it.registry.change([(server, "leaving")], restarted=False)
-            while (told := it.statements.closes(server, since_ns))["standing"]:
+            while (closes := it.statements.closes(server, since_ns)).standing:
                 await asyncio.sleep(0)
-            assert len(told["after_us"]) == 1
+            assert len(closes.after_us) == 1
 
     run(test())
 
 
 def test_a_call_that_waits_too_long_is_turned_away(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("lab.registry.PATIENCE_S", 0.0)
+    monkeypatch.setattr("lab.registry.MAX_WAIT_S", 0.0)
 
     async def test() -> None:
         async with rig() as it:
@@ -386,8 +387,8 @@
         async with Children(memory_mb=1, logs=tmp_path) as children:
             child = await children.start("registry", "lab.registry")
             await child.process.wait()
-            with pytest.raises(OverBound, match="registry"):
-                await child.ask("stats")
+            with pytest.raises(MemoryBoundError, match="registry"):
+                await child.ask(ReadRegistryStats())
 
     run(test())
 
--- a/tests/test_stored_results.py
+++ b/tests/test_stored_results.py
@@ -18,6 +18,7 @@
 
 from lab import report
 from lab.__main__ import lab
+from lab.figures import slopes
 from lab.model import experiment, scenario_files, summary
 from lab.model.results import FILE, Result, of_policy, read, write
 
@@ -190,7 +191,7 @@
 
 def test_slopes_are_found_again_from_the_stored_points(stored_scale: dict[str, Any]) -> None:
     figures = stored_scale["figures"]
-    found = report.slopes(figures["points"])
+    found = slopes(figures["points"])
     assert found.keys() == figures["slopes"].keys()
     for kind, lines in figures["slopes"].items():
         assert found[kind].keys() == lines.keys()
