--- /dev/null
+++ b/tests/lab/conftest.py
@@ -0,0 +1,24 @@
+"""Fixtures that tests of the lab share."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from typing import Any
+
+import pytest
+
+from lab.model import experiment
+
+
+@pytest.fixture
+def played_runs(monkeypatch: pytest.MonkeyPatch) -> list[tuple[str, int]]:
+    """Runs are played in this process; policy and seed of each."""
+    runs: list[tuple[str, int]] = []
+
+    def in_turn(plan: experiment.Plan, tasks: list[tuple[str, int]], _jobs: int) -> Iterator[dict[str, Any]]:
+        for task in tasks:
+            runs.append(task)
+            yield experiment.play(plan.scenario, *task)
+
+    monkeypatch.setattr(experiment, "play_all", in_turn)
+    return runs
--- /dev/null
+++ b/tests/lab/model/mutants.py
@@ -0,0 +1,103 @@
+"""Policies that break the rules, each in its own way."""
+
+from __future__ import annotations
+
+from lab.model.policies import OpenRequest, ReferencePolicy
+from load_balancer.decisions.actions import Action, Reject, Send
+from load_balancer.decisions.events import (
+    AttemptEnded,
+    EndpointListReceived,
+    Event,
+    Outcome,
+    RequestArrived,
+)
+
+
+class AnswersTwice(ReferencePolicy):
+    def handle(self, now_us: int, event: Event) -> list[Action]:
+        if isinstance(event, RequestArrived):
+            return [Reject(event.request_id), Reject(event.request_id)]
+        return super().handle(now_us, event)
+
+
+class NeverAnswers(ReferencePolicy):
+    def handle(self, now_us: int, event: Event) -> list[Action]:
+        return [] if isinstance(event, RequestArrived) else super().handle(now_us, event)
+
+
+class SendsAfterEnd(ReferencePolicy):
+    def handle(self, now_us: int, event: Event) -> list[Action]:
+        if isinstance(event, RequestArrived):
+            return [Reject(event.request_id), Send(event.request_id, self.listed[0], 1_000)]
+        return super().handle(now_us, event)
+
+
+class ResendsUnsafe(ReferencePolicy):
+    """Sends again what may have run, whatever its effect."""
+
+    def on_end(self, now_us: int, event: AttemptEnded) -> list[Action]:
+        request = self.open.get(event.request_id)
+        if request is not None and event.outcome is Outcome.ERROR and self.is_unsafe(request):
+            return self.send(now_us, event.request_id)
+        return super().on_end(now_us, event)
+
+    def is_unsafe(self, request: OpenRequest) -> bool:
+        return request.event.request_class == 1
+
+
+class RefusesAfterExecution(ResendsUnsafe):
+    def send(self, now_us: int, request_id: str) -> list[Action]:
+        if self.open[request_id].tried and self.is_unsafe(self.open[request_id]):
+            del self.open[request_id]
+            return [Reject(request_id)]
+        return super().send(now_us, request_id)
+
+
+class SendsTwice(ReferencePolicy):
+    def send(self, now_us: int, request_id: str) -> list[Action]:
+        return [action for action in super().send(now_us, request_id) for _ in range(2)]
+
+
+class KeepsEveryEndpoint(ReferencePolicy):
+    """Goes on with every endpoint that a list has named."""
+
+    def on_list(self, now_us: int, event: EndpointListReceived) -> list[Action]:
+        earlier = self.listed
+        actions = super().on_list(now_us, event)
+        self.listed = sorted({*earlier, *self.listed})
+        return actions
+
+
+class NeverSubscribes(ReferencePolicy):
+    """Asks for no list, so that it counts as notified."""
+
+    def on_list(self, now_us: int, event: EndpointListReceived) -> list[Action]:
+        super().on_list(now_us, event)
+        return []
+
+
+class FloodsNewestEndpoint(ReferencePolicy):
+    """Sends all to the endpoint that has started last."""
+
+    newest = 0
+
+    def on_list(self, now_us: int, event: EndpointListReceived) -> list[Action]:
+        actions = super().on_list(now_us, event)
+        started = {entry.started_us: entry.id for entry in event.endpoints if entry.started_us}
+        self.newest = started[max(started)] if started else self.newest
+        return actions
+
+    def choose(self, endpoints: list[int]) -> int:
+        return self.newest if self.newest in endpoints else super().choose(endpoints)
+
+
+class SendsToRestartedEndpoints(NeverSubscribes):
+    """Sends all to two endpoints, and is never notified that they have started anew."""
+
+    def choose(self, endpoints: list[int]) -> int:
+        return endpoints[self.settings.gateway_index % len(endpoints)]
+
+
+class RepeatsAnywhere(ResendsUnsafe):
+    def is_unsafe(self, _request: OpenRequest) -> bool:
+        return True
--- /dev/null
+++ b/tests/lab/model/support.py
@@ -0,0 +1,58 @@
+"""Scenarios and runs that the model's tests share."""
+
+from __future__ import annotations
+
+import pytest
+
+from lab.__main__ import lab
+from lab.model import scenario_files
+from lab.model.policies import CreatePolicy
+from lab.model.scenario import Scenario
+from lab.model.world import World
+
+TINY = """
+name = "tiny"
+seconds = 10.0
+[fleet]
+gateways = 2
+servers = 4
+errors = 0.1
+regions = {west = ["a", "b"]}
+machines = [{name = "plain", share = 1.0, speed = [0.9, 1.1]}]
+[discovery]
+delay_s = [0.1, 0.3]
+must_ask_s = 1.0
+[traffic]
+rate_per_s = 40.0
+classes = [
+  {name = "view", share = 0.6, work_ms = [20.0, 40.0]},
+  {name = "change", share = 0.4, work_ms = [30.0, 50.0], effect = "unsafe", give_up_ms = 1000.0},
+]
+tenants = [{name = "one", share = 1.0}]
+"""
+RELEASE = '\n[[troubles]]\nkind = "release"\nat_s = 2.0\nfor_s = 3.0\nwaves = 1\npart = 0.5\ndown_s = 2.0\n'
+BURST = '\n[[troubles]]\nkind = "burst"\nat_s = 5.0\nfor_s = 4.0\ntimes = 2.0\n'
+
+
+def parse_tiny(more: str = "") -> Scenario:
+    """The tiny scenario with more text."""
+    return scenario_files.parse(TINY + more, "tiny.toml")
+
+
+def play(scenario: Scenario, create_policy: CreatePolicy, seed: int = 1) -> World:
+    """A run that has been played."""
+    world = World(scenario, create_policy, seed)
+    world.play()
+    return world
+
+
+def violated_rules(world: World) -> set[int]:
+    """The numbers of the rules that a run has broken."""
+    return {broken["rule"] for broken in world.rules.named}
+
+
+def call_lab(*arguments: str) -> int:
+    """Run a lab command in this process; returns its exit code."""
+    with pytest.raises(SystemExit) as ended:
+        lab.main(list(arguments))
+    return int(ended.value.code or 0)
--- /dev/null
+++ b/tests/lab/model/test_knobs.py
@@ -0,0 +1,40 @@
+"""Knobs: constants that a run changes."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import pytest
+
+from lab.model import experiment
+from load_balancer.decisions import balancer as choice
+from load_balancer.decisions import evidence
+from tests.lab.model.support import call_lab, parse_tiny
+
+
+def test_a_knob_is_set_wherever_the_constant_is_held(monkeypatch: pytest.MonkeyPatch) -> None:
+    for module in (choice, evidence):
+        monkeypatch.setattr(module, "RING", evidence.RING)  # put back after the test
+    before = experiment.play(parse_tiny(), "rosedeal", 1)
+    experiment.turn([experiment.parse_knob("choice.RING=5")])
+    assert vars(choice)["RING"] == evidence.RING == 5
+    assert experiment.play(parse_tiny(), "rosedeal", 1) != before
+
+
+@pytest.mark.parametrize(
+    ("knob", "expected"),
+    [
+        ("choice.RINGS=5", "load_balancer.decisions.balancer has no number RINGS"),
+        ("choice.Balancer=5", "expected choice.NAME=NUMBER"),
+        ("evidence.RING=2.5", "expected int for RING"),
+        ("choice.STEP=nan", "expected a finite number for STEP"),
+        ("settings.RING=5", "expected choice.NAME=NUMBER"),
+    ],
+)
+def test_an_unknown_knob_is_one_line(
+    knob: str, expected: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
+    assert call_lab("run", "ordinary", "--knob", knob, "--out", str(tmp_path)) == 2
+    (line,) = capsys.readouterr().err.splitlines()
+    assert line.startswith(f"lab: --knob {knob}: ")
+    assert expected in line
--- /dev/null
+++ b/tests/lab/test_fleet.py
@@ -0,0 +1,24 @@
+"""The fleet of the rig, and what imports what."""
+
+from __future__ import annotations
+
+import re
+from pathlib import Path
+
+from lab import fleet
+
+
+def test_a_rack_stands_in_one_zone_and_an_address_tells_its_server() -> None:
+    for number in range(4200):
+        assert fleet.number_of(fleet.host(number)) == number
+    zones: dict[int, set[str]] = {}
+    for number in range(4200):
+        zones.setdefault(fleet.rack_of(number), set()).add(fleet.zone_of(number))
+    assert all(len(found) == 1 for found in zones.values())
+    assert len(zones) == 4200 // fleet.RACK
+
+
+def test_the_package_never_imports_the_lab() -> None:
+    sources = list((Path(__file__).parents[2] / "load_balancer").rglob("*.py"))
+    assert sources
+    assert not [p for p in sources if re.search(r"^\s*(from|import) lab\b", p.read_text(), re.M)]
--- /dev/null
+++ b/tests/lab/test_processes.py
@@ -0,0 +1,22 @@
+"""Children under a bound of memory."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import pytest
+
+from lab.messages import ReadRegistryStats
+from lab.processes import Children, MemoryBoundError
+from tests.sockets import run
+
+
+def test_a_child_over_the_bound_of_memory_is_ended_and_said_so(tmp_path: Path) -> None:
+    async def test() -> None:
+        async with Children(memory_mb=1, logs=tmp_path) as children:
+            child = await children.start("registry", "lab.registry")
+            await child.process.wait()
+            with pytest.raises(MemoryBoundError, match="registry"):
+                await child.ask(ReadRegistryStats())
+
+    run(test())
--- /dev/null
+++ b/tests/lab/test_scale.py
@@ -0,0 +1,76 @@
+"""A tiny scale run, whole and interrupted."""
+
+from __future__ import annotations
+
+import json
+import os
+import signal
+import subprocess
+import sys
+from pathlib import Path
+from typing import Any
+
+import psutil
+import pytest
+
+TINY = (
+    "--servers=8",
+    "--routes=4",
+    "--tenants=4",
+    "--hollow=4",
+    "--real=1",
+    "--sweep-s=0.2",
+    "--seconds=0.5",
+)
+
+
+def command(out: Path, *more: str) -> subprocess.Popen[str]:
+    return subprocess.Popen(
+        [
+            sys.executable,
+            "-m",
+            "lab",
+            "scale",
+            *TINY,
+            "--rate=50",
+            "--scenario=ordinary",
+            "--out",
+            str(out),
+            *more,
+        ],
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        text=True,
+    )
+
+
+def test_a_tiny_run_goes_through(tmp_path: Path) -> None:
+    with command(tmp_path, "--late-ms=1000") as child:
+        out, err = child.communicate(timeout=110)
+    assert child.returncode == 0, err + out
+    found: dict[str, Any] = json.loads((tmp_path / "result.json").read_text())
+    figures = found["figures"]
+    assert found["schedule"]["kept"]
+    assert not found["broken"]
+    assert not found["over_bound"]
+    assert set(figures["roles"]) == {"registry", "statements", "clients", "gateway", "hollow"}
+    assert figures["roles"]["gateway"]["added"]["gateway"]["count"] > 0
+    assert figures["roles"]["hollow"]["in_force"]["count"] > 0
+    for kind in ("servers", "routes", "tenants", "gateways"):
+        assert len(figures["points"][kind]) == 4
+        assert all(figures["slopes"][kind].values())
+
+
+@pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM])
+def test_an_interrupted_run_ends_its_children(number: signal.Signals, tmp_path: Path) -> None:
+    """The first line of progress comes once the stand-ins are up."""
+    with command(tmp_path) as child:
+        assert child.stderr is not None
+        assert child.stderr.readline()
+        children = psutil.Process(child.pid).children(recursive=True)
+        os.kill(child.pid, number)
+        _, err = child.communicate(timeout=60)
+    assert child.returncode == 130
+    assert "interrupted" in err.splitlines()[-1]
+    assert len(children) >= 3
+    assert not any(process.is_running() for process in children)
--- a/tests/test_stored_results.py
+++ b/tests/lab/test_stored_results.py
@@ -22,8 +22,8 @@
 from lab.model import experiment, scenario_files, summary
 from lab.model.results import FILE, Result, of_policy, read, write
 
-ROOT = Path(__file__).parent.parent
-FIXTURES = Path(__file__).parent / "fixtures"
+ROOT = Path(__file__).parents[2]
+FIXTURES = ROOT / "tests" / "fixtures"
 BEFORE = FIXTURES / "lab_run_before"
 AFTER = FIXTURES / "lab_run_after"
 EVIDENCE = FIXTURES / "lab_run_evidence"
