--- a/tests/gateway/test_attempts.py
+++ b/tests/gateway/test_attempts.py
@@ -42,7 +42,7 @@
         client.send(ask("buy"))
         (await it.host.taken.get()).raw(answer, close=True)
         assert (await it.event(AttemptEnded)).outcome is outcome
-        # An unsafe request is refused only where it is sure not to have run.
+        # A request that must not run twice is rejected only where it is sure not to have run.
         assert (await client.answer())[0] == (503 if outcome is Outcome.REJECTED else 502)
 
 
@@ -85,7 +85,7 @@
 
 @runs_in_event_loop
 async def test_a_request_still_in_the_write_buffer_is_reported_as_connect_failed() -> None:
-    """Handed to the transport is not written: the endpoint has read a part, and the rest never leaves."""
+    """Handed to the transport is not written: the endpoint has read a part, and the rest is never sent."""
     async with gateway() as it:
         client = await it.client()
         await it.served(client)
--- a/tests/gateway/test_client_disconnects.py
+++ b/tests/gateway/test_client_disconnects.py
@@ -34,18 +34,18 @@
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
-@pytest.mark.parametrize("leave", ["ends", "resets", "resets over unread bytes"])
+@pytest.mark.parametrize("ending", ["ends", "resets", "resets over unread bytes"])
 @runs_in_event_loop
 async def test_a_request_is_not_forwarded_if_its_client_disconnects_while_the_connection_comes_up(
-    leave: str, may_cancel: bool, monkeypatch: pytest.MonkeyPatch
+    ending: str, may_cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Also where attempts may not be cancelled."""
     async with gateway(settings=settings(mayCancel=may_cancel)) as it:
         free = hold_connects(it, monkeypatch)
         client = await it.client()
-        client.send(ask(Request_Id="left") + (b"more" if "unread" in leave else b""))
+        client.send(ask(Request_Id="disconnected") + (b"more" if "unread" in ending else b""))
         await it.event(RequestArrived)
-        if leave == "ends":
+        if ending == "ends":
             client.writer.close()
         else:
             client.writer.transport.abort()
@@ -55,9 +55,9 @@
         assert ended.outcome in (Outcome.CANCELLED, Outcome.NOT_SENT)
         assert ended.finished
         good = await it.client()
-        good.send(ask(Request_Id="stayed"))
+        good.send(ask(Request_Id="connected"))
         taken = await it.host.taken.get()
-        assert taken.head["request-id"] == "stayed"
+        assert taken.head["request-id"] == "connected"
         taken.answer()
         assert (await good.answer())[0] == 200
         assert not it.proxy.ledger.pending
@@ -69,13 +69,13 @@
     """The transport closes only when all that was written before has been read."""
     async with gateway() as it:
         client = await it.client()
-        client.send(ask() + ask(Request_Id="left"))
+        client.send(ask() + ask(Request_Id="disconnected"))
         taken = await it.host.taken.get()
         connection = it.stop_reading(client)
         assert connection.transport is not None
         connection.transport.set_write_buffer_limits(high=2 * BODY_LIMIT)
         taken.answer(body=bytes(BODY_LIMIT))
-        assert (await it.host.taken.get()).head["request-id"] == "left"
+        assert (await it.host.taken.get()).head["request-id"] == "disconnected"
         assert connection.transport.get_write_buffer_size() > 0
         client.writer.write_eof()
         await it.event(ClientDisconnected)
@@ -93,7 +93,7 @@
         await it.event(ClientDisconnected)
         taken.answer()
         await it.host.left.get()
-        await it.served(await it.client(), ask(Request_Id="stayed"))
+        await it.served(await it.client(), ask(Request_Id="connected"))
         assert it.host.taken.empty()
         assert it.proxy.ledger.accepted == 2
 
@@ -183,7 +183,7 @@
         await until(lambda: not it.proxy.ledger.pending)
         monkeypatch.undo()
         client.close()
-        await it.served(await it.client(), ask(Request_Id="stayed"))
+        await it.served(await it.client(), ask(Request_Id="connected"))
         assert it.host.taken.empty()
         assert it.proxy.ledger.unanswered == 0
 
@@ -194,7 +194,7 @@
     draining: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with gateway(settings=settings(mayCancel=False)) as it:
-        it.proxy.balancer.limit = 100.0  # nothing is shed for what is out
+        it.proxy.balancer.limit = 100.0  # nothing is shed for what is in flight
         free = hold_connects(it, monkeypatch)
         clients = [await it.client() for _ in range(20)]
         for client in clients:
@@ -208,6 +208,6 @@
         await until(lambda: not it.proxy.ledger.pending)
         assert it.proxy.ledger.unanswered == 0
         assert it.host.taken.empty()
-        await it.served(await it.client(), ask(Request_Id="stayed"))
+        await it.served(await it.client(), ask(Request_Id="connected"))
         assert it.host.taken.empty()
         assert len(it.proxy.upstream.connections) <= 1
--- a/tests/gateway/test_client_server.py
+++ b/tests/gateway/test_client_server.py
@@ -11,13 +11,13 @@
 from tests.sockets import ask, gateway, runs_in_event_loop, send_now, until
 
 
+@pytest.mark.parametrize(("endpoints", "status"), [(1, 200), (0, 503)])
 @runs_in_event_loop
-async def test_ready_once_endpoints_are_known() -> None:
-    for hosts, status in ((1, 200), (0, 503)):
-        async with gateway(hosts=hosts) as it:
-            assert not it.proxy.config.known  # it stayed for good, beside the list as it was read
-            client = await it.client()
-            assert (await client.ask(b"GET /health/ready HTTP/1.1\r\n\r\n"))[0] == status
+async def test_ready_once_endpoints_are_known(endpoints: int, status: int) -> None:
+    async with gateway(hosts=endpoints) as it:
+        assert not it.proxy.config.known  # it stayed for good, beside the list as it was read
+        client = await it.client()
+        assert (await client.ask(b"GET /health/ready HTTP/1.1\r\n\r\n"))[0] == status
 
 
 @runs_in_event_loop
@@ -26,8 +26,8 @@
         limit = it.downstream.limit
         idle = [await it.client() for _ in range(limit)]
         await until(lambda: len(it.downstream.connections) == limit)
-        young = await it.client()
-        assert (await young.ask(ask()))[0] == 503
+        new = await it.client()
+        assert (await new.ask(ask()))[0] == 503
         for connection in it.downstream.connections:
             connection.last_activity -= client_server.EVICTION_IDLE_S
         busy = await it.client()
@@ -36,26 +36,26 @@
         await asyncio.wait(ends, return_when=asyncio.FIRST_COMPLETED)
         assert any(end.done() and end.result() for end in ends)
         held = []
-        it.proxy.balancer.limit = 2.0 * limit  # nothing is shed for what is out
+        it.proxy.balancer.limit = 2.0 * limit  # nothing is shed for what is in flight
         for _ in range(limit):
             held.append(await it.client())
             held[-1].send(ask())
             await it.event(RequestArrived)
-        turned_away = await it.client()
-        status, head, _ = await turned_away.ask(ask())
+        rejected = await it.client()
+        status, head, _ = await rejected.ask(ask())
         assert status == 503
         assert head["connection"] == "close"
 
 
-@pytest.mark.parametrize("old", [False, True])
+@pytest.mark.parametrize("long_idle", [False, True])
 @runs_in_event_loop
-async def test_idle_clients_do_not_keep_a_new_one_from_asking_for_readiness(old: bool) -> None:
+async def test_idle_clients_do_not_keep_a_new_one_from_asking_for_readiness(long_idle: bool) -> None:
     """Beyond the limit a new connection may still ask for readiness."""
     async with gateway(limits={"sockets": 128}) as it:
         most = it.downstream.limit + client_server.REJECTED_CONNECTIONS
         idle = [await it.client() for _ in range(most)]
         await until(lambda: len(it.downstream.connections) == most)
-        for connection in it.downstream.connections if old else ():
+        for connection in it.downstream.connections if long_idle else ():
             connection.last_activity -= client_server.EVICTION_IDLE_S
         for _ in range(most):
             asks = await it.client()
@@ -63,8 +63,8 @@
             assert (status, text) == (200, b"ready\n")
             idle.append(await it.client())
             assert len(it.downstream.connections) <= most + client_server.CLOSING_CONNECTIONS
-        first = idle[0 if old else it.downstream.limit]
-        assert old or (await first.answer())[0] == 503
+        first = idle[0 if long_idle else it.downstream.limit]
+        assert long_idle or (await first.answer())[0] == 503
         assert await first.closed()
 
 
--- a/tests/gateway/test_simultaneous_ends.py
+++ b/tests/gateway/test_simultaneous_ends.py
@@ -15,7 +15,7 @@
 from tests.gateway.scripted_balancer import script_decisions, time_out
 from tests.sockets import Gateway, ask, gateway, runs_in_event_loop, send_now, settings, until
 
-ENDINGS = ["cancelled", "timed out", "spoilt"]
+ENDINGS = ["cancelled", "timed out", "malformed"]
 
 
 @pytest.mark.parametrize("ending", ENDINGS)
--- a/tests/gateway/test_upstream_pool.py
+++ b/tests/gateway/test_upstream_pool.py
@@ -159,10 +159,10 @@
         assert it.host.taken.empty()
 
 
-@pytest.mark.parametrize("said", ["leaving", "left", "unnamed", "elsewhere"])
+@pytest.mark.parametrize("change", ["leaving", "left", "unlisted", "moved"])
 @runs_in_event_loop
 async def test_an_attempt_that_waits_for_a_connection_ends_as_its_endpoint_drains(
-    said: str, monkeypatch: pytest.MonkeyPatch
+    change: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It is not written if the connection comes up later, and does not wait for that to fail."""
     changed = settings(connectTimeoutUs=120_000_000)
@@ -173,12 +173,12 @@
         client = await it.client()
         client.send(ask("buy"))
         await it.event(RequestArrived)
-        if said == "unnamed":
+        if change == "unlisted":
             watch.write(chunk(news(entry("h1", it.host.address), snapshot=True)))
-        elif said == "elsewhere":
+        elif change == "moved":
             watch.write(chunk(news(entry("h0", "127.0.0.1:9"))))
         else:
-            watch.write(chunk(news(entry("h0", it.host.address, said))))
+            watch.write(chunk(news(entry("h0", it.host.address, change))))
         assert (await it.event(AttemptEnded)).outcome is Outcome.CONNECT_FAILED
         assert (await client.answer())[0] == 503
         free.set()
