--- a/load_balancer/__main__.py
+++ b/load_balancer/__main__.py
@@ -68,6 +68,7 @@
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(serve(config))
     except OSError as error:
+        flush()  # what has been counted comes before the last line
         log_event("gateway.start_failed", error=error)
         return EXIT_START_FAILED
     finally:
--- a/tests/gateway/test_process_start.py
+++ b/tests/gateway/test_process_start.py
@@ -5,7 +5,10 @@
 import asyncio
 import gc
 import json
+import os
 import socket
+import subprocess
+import sys
 import tracemalloc
 from pathlib import Path
 from typing import Any
@@ -130,6 +133,40 @@
     assert not visited
 
 
+FAILING_START = """
+import load_balancer.__main__ as process
+from load_balancer.gateway.event_log import log_event
+
+
+async def fail(config):
+    log_event("discovery.call_failed", reason="first")
+    log_event("discovery.call_failed", reason="first")
+    raise OSError("address in use")
+
+
+process.serve = fail
+raise SystemExit(process.main())
+"""
+
+
+def test_counted_repeats_come_before_the_line_on_a_failed_start(tmp_path: Path) -> None:
+    """A poll that failed twice while the listener was opened was counted, and told after the last line."""
+    path = tmp_path / "config.json"
+    path.write_text(json.dumps(configuration({}, "127.0.0.1:1")))
+    done = subprocess.run(
+        [sys.executable, "-c", FAILING_START],
+        env={**os.environ, "ROUTER_CONFIG": str(path)},
+        capture_output=True,
+        text=True,
+        timeout=60,
+        check=False,
+    )
+    *_, repeats, last = done.stderr.splitlines()
+    assert "repeated=1" in repeats
+    assert last == "load_balancer: cannot start: address in use"
+    assert done.returncode == 1
+
+
 def test_an_address_in_use_is_one_line_and_a_failure(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
         path = tmp_path / "config.json"
