--- a/load_balancer/decisions/admission.py
+++ b/load_balancer/decisions/admission.py
@@ -9,11 +9,11 @@
 from random import Random
 
 from load_balancer.decisions.concurrency_limit import ConcurrencyLimit
+from load_balancer.decisions.context import Context
 from load_balancer.decisions.demand import Demand
-from load_balancer.decisions.latency import MIN_ANSWERS, ClassState, RequestClasses
+from load_balancer.decisions.latency import MIN_ANSWERS, ClassState
 from load_balancer.decisions.priority_order import PriorityOrder
 from load_balancer.decisions.request import Request
-from load_balancer.decisions.settings import Settings
 
 MAX_SHED_SHARE = 0.95  # what still comes through shows when to shed less
 SHED_SHARE_STEP = 0.1  # of the work asked for, shed more or less after one list with load-dependent weights
@@ -32,6 +32,7 @@
     """
 
     __slots__ = (
+        "_context",
         "_demand",
         "_limit",
         "_random",
@@ -41,8 +42,8 @@
         "worst_served_share",
     )
 
-    def __init__(self, random: Random, demand: Demand, limit: ConcurrencyLimit) -> None:
-        self._random, self._demand, self._limit = random, demand, limit
+    def __init__(self, random: Random, context: Context, demand: Demand, limit: ConcurrencyLimit) -> None:
+        self._random, self._context, self._demand, self._limit = random, context, demand, limit
         self.load_shed_share = 0.0
         self.order = PriorityOrder(-1, [])
         self.mean_priority_weight = 1.0
@@ -70,35 +71,30 @@
         share = self.load_shed_share + SHED_SHARE_STEP * min(2.0, excess)
         self.load_shed_share = min(MAX_SHED_SHARE, max(0.0, share))
 
-    def is_shed(
-        self, request: Request, now_us: int, settings: Settings, classes: RequestClasses, any_closed: bool
-    ) -> bool:
+    def is_shed(self, request: Request, any_closed: bool) -> bool:
         """Return whether to reject a request that has just arrived.
 
         Args:
             request: The request.
-            now_us: The time.
-            settings: The settings in force.
-            classes: Their classes.
             any_closed: Whether the breaker of any endpoint is closed. While none is, nothing is shed:
                 half-open ones need trials, and without an answer nothing would change.
         """
-        if self._is_hopeless(request, now_us):
+        if self._is_hopeless(request):
             return True
         shed_share = self.shed_share
         if shed_share <= 0.0 or not any_closed:
             return False
         if self.order.is_stale(self._demand.changes):
-            self.sort_demand(settings, classes)
+            self.sort_demand()
         request_class = request.request_class
         counts = self._demand.over_quota if request.over_quota else self._demand.within_quota
         amount = counts.get(request_class.class_id, 0.0) * request_class.unloaded_us
-        below = self.order.share_below(self.priority(request_class, request.over_quota, settings))
+        below = self.order.share_below(self.priority(request_class, request.over_quota))
         return below + amount / self.order.whole * self._random.random() < shed_share
 
-    def sort_demand(self, settings: Settings, classes: RequestClasses) -> None:
+    def sort_demand(self) -> None:
         """Put what has been asked for of late in order of priority."""
-        demand, by_id = self._demand, classes.by_id
+        demand, by_id = self._demand, self._context.classes.by_id
         asked = demand.within_quota
         total = sum(asked.values()) or 1.0
         weighted = sum(by_id[class_id].terms.priority_weight * n for class_id, n in sorted(asked.items()))
@@ -108,15 +104,16 @@
             served.append(1.0)  # of classes that nobody asked for nothing is left unserved
         self.worst_served_share = min(served)
         parts = [
-            (self.priority(by_id[class_id], over_quota, settings), n * by_id[class_id].unloaded_us)
+            (self.priority(by_id[class_id], over_quota), n * by_id[class_id].unloaded_us)
             for over_quota, counts in ((False, asked), (True, demand.over_quota))
             for class_id, n in counts.items()
         ]
         self.order = PriorityOrder(demand.changes, parts)
 
-    def priority(self, request_class: ClassState, over_quota: bool, settings: Settings) -> float:
+    def priority(self, request_class: ClassState, over_quota: bool) -> float:
         """Return what the objective gains from each unit of endpoint time for a class."""
-        objective, demand = settings.objective, self._demand
+        settings, demand = self._context.settings, self._demand
+        objective = settings.objective
         unit_us = 1.0 if settings.weight_by_work else request_class.unloaded_us
         weight = objective.overall + objective.worst_window
         gain = weight * request_class.terms.priority_weight / self.mean_priority_weight / unit_us
@@ -128,22 +125,19 @@
             gain += objective.worst_class * (demand.total_within_quota or 1.0) / asked / unit_us
         return gain
 
-    def shedding_left_us(self, slowest_us: float) -> int:
-        """Return when shedding may end, as the time to answer what is in flight beyond the limit.
-
-        Args:
-            slowest_us: The longest smoothed latency of any class.
-        """
+    def shedding_left_us(self) -> int:
+        """Return when shedding may end, as the time to answer what is in flight beyond the limit."""
         limit = self._limit
         answers = max(limit.in_flight - limit.limit, self.load_shed_share / SHED_SHARE_STEP)
-        return int(answers * slowest_us / max(1, limit.in_flight))
+        return int(answers * self._context.classes.slowest.smoothed_us / max(1, limit.in_flight))
 
-    def _is_hopeless(self, request: Request, now_us: int) -> bool:
+    def _is_hopeless(self, request: Request) -> bool:
         """Return whether the time is over, or shorter than any answer of the class has taken.
 
         Clients in a hurry that ask again and again would keep the endpoints at work that nobody waits for.
         A few are sent all the same, as answers may have become shorter.
         """
+        now_us = self._context.now_us
         left_us = request.wait_until_us(now_us) - now_us
         if left_us <= 0:
             return True
--- a/load_balancer/decisions/balancer.py
+++ b/load_balancer/decisions/balancer.py
@@ -13,6 +13,11 @@
    feedback of `weight_controller`.
 6. `outliers` enters the outcome of the attempt in the breakers, the weight, `latency` and the limit.
 
+Three records are changed by several parts. `Request`: by `request_lifecycle`, `ordered_keys` (its queue) and,
+with `Attempt`, by `dispatcher` and `retries` (overdue). `EndpointState`: by `endpoint_list` (as listed),
+`dispatcher` (in flight, last answer), `slow_start` (work sent), `load_reports` (reports) and `outliers`
+(weight, last outcomes). `ClassState`: by its own methods and `client_timeouts` (votes).
+
 docs/design.md compares this with a plain count-based circuit breaker.
 """
 
@@ -92,9 +97,9 @@
         self.demand = Demand()
         self.quotas = Quotas()
         self.concurrency_limit = ConcurrencyLimit()
-        self.admission = AdmissionControl(self.random, self.demand, self.concurrency_limit)
+        self.admission = AdmissionControl(self.random, self.context, self.demand, self.concurrency_limit)
         self.load_reports = LoadReports()
-        picker = Picker(self.random, self.arrivals, self.load_reports)
+        picker = Picker(self.random, self.context, self.arrivals, self.load_reports)
         self.dispatcher = Dispatcher(
             self._actions, self.context, self.endpoints, self.concurrency_limit, picker
         )
@@ -163,8 +168,7 @@
         request = self.intake.accept(event, context.now_us, request_class, context.settings_version)
         requests[request.id] = request
         self.arrivals.note_arrival(context.now_us)
-        any_closed = self.endpoints.any_closed
-        if self.admission.is_shed(request, context.now_us, context.settings, context.classes, any_closed):
+        if self.admission.is_shed(request, self.endpoints.any_closed):
             self.lifecycle.answer_unserved(request)
         else:
             self.lifecycle.start(request)
--- a/load_balancer/decisions/dispatcher.py
+++ b/load_balancer/decisions/dispatcher.py
@@ -52,7 +52,7 @@
         else:
             candidates = self.subset.select(by_rank, request.breaker_key, now_us, overdue_us, settings)
         budget_us = self.overload_budget_us()
-        return self.picker.pick(request, candidates, len(by_rank), budget_us, now_us, settings)
+        return self.picker.pick(request, candidates, len(by_rank), budget_us)
 
     def send(self, request: Request) -> bool:
         """Send an attempt, if an endpoint may take one now."""
--- a/load_balancer/decisions/picker.py
+++ b/load_balancer/decisions/picker.py
@@ -9,13 +9,14 @@
 from collections.abc import Sequence
 from random import Random
 
+from load_balancer.decisions.context import Context
 from load_balancer.decisions.demand import ArrivalInterval
 from load_balancer.decisions.endpoint_state import EndpointState
 from load_balancer.decisions.load_reports import LoadReports, report_age_factor
 from load_balancer.decisions.locality import zone_factor
 from load_balancer.decisions.rendezvous import rendezvous_rank
 from load_balancer.decisions.request import Request
-from load_balancer.decisions.settings import Idempotency, Settings
+from load_balancer.decisions.settings import Idempotency
 from load_balancer.decisions.slow_start import capacity_share, has_room
 
 ERROR_SHARE_UNIT = 0.1  # share of an endpoint's usual requests that fail: it weighs like one in flight
@@ -37,10 +38,12 @@
 class Picker:
     """Draws the endpoint for an attempt."""
 
-    __slots__ = ("_arrivals", "_random", "_reports")
+    __slots__ = ("_arrivals", "_context", "_random", "_reports")
 
-    def __init__(self, random: Random, arrivals: ArrivalInterval, reports: LoadReports) -> None:
-        self._random, self._arrivals, self._reports = random, arrivals, reports
+    def __init__(
+        self, random: Random, context: Context, arrivals: ArrivalInterval, reports: LoadReports
+    ) -> None:
+        self._random, self._context, self._arrivals, self._reports = random, context, arrivals, reports
 
     def pick(
         self,
@@ -48,8 +51,6 @@
         candidates: Sequence[EndpointState],
         endpoint_count: int,
         overload_budget_us: float,
-        now_us: int,
-        settings: Settings,
     ) -> EndpointState | None:
         """Return the endpoint for an attempt, None where none has room.
 
@@ -58,10 +59,8 @@
             candidates: The endpoints that may take it.
             endpoint_count: Endpoints listed.
             overload_budget_us: This gateway's budget for an endpoint in slow start.
-            now_us: The time.
-            settings: The settings in force.
         """
-        weighted = self._weigh(request, candidates, endpoint_count, overload_budget_us, now_us, settings)
+        weighted = self._weigh(request, candidates, endpoint_count, overload_budget_us)
         if request.request_class.terms.idempotency is Idempotency.NON_IDEMPOTENT:
             # A half-open breaker's trial risks its request, which could not be repeated.
             weighted = [pair for pair in weighted if pair[1].is_closed] or weighted
@@ -83,10 +82,9 @@
         candidates: Sequence[EndpointState],
         endpoint_count: int,
         overload_budget_us: float,
-        now_us: int,
-        settings: Settings,
     ) -> WeightedEndpoints:
         """Return the candidates that have room, with their weights above 0."""
+        now_us, settings = self._context.now_us, self._context.settings
         request_interval_s = self._arrivals.per_endpoint_s(endpoint_count, settings.gateways)
         speed_factor = self._reports.speed_factor
         weighted: WeightedEndpoints = []
--- a/load_balancer/decisions/request_lifecycle.py
+++ b/load_balancer/decisions/request_lifecycle.py
@@ -175,7 +175,7 @@
         """Return the shortest cooldown left, or the time until shedding may end if that is longer."""
         wait_us = max(
             self._endpoints.cooldown_left_us(request.breaker_key, self._context.now_us),
-            self._admission.shedding_left_us(self._context.classes.slowest.smoothed_us),
+            self._admission.shedding_left_us(),
         )
         return max(0, min(wait_us, request.settings_version.settings.max_retry_after_us))
 
--- a/tests/decisions/test_settings_version.py
+++ b/tests/decisions/test_settings_version.py
@@ -162,9 +162,9 @@
 
 def test_the_order_by_priority_is_made_anew_under_new_settings() -> None:
     driver = Driver(BEFORE)
-    driver.admission.sort_demand(driver.balancer.context.settings, driver.classes)
+    driver.admission.sort_demand()
     driver.arrive()
-    driver.admission.sort_demand(driver.balancer.context.settings, driver.classes)
+    driver.admission.sort_demand()
     assert driver.admission.order.parts
     driver.change_settings(replace(BEFORE, classes=NAMED[1:]))
     assert not driver.admission.order.parts
--- a/tests/decisions/test_sparse_state.py
+++ b/tests/decisions/test_sparse_state.py
@@ -35,7 +35,6 @@
     RequestArrived,
     TimerFired,
 )
-from load_balancer.decisions.latency import RequestClasses
 from load_balancer.decisions.priority_order import MAX_EXACT_PARTS, PriorityOrder
 from load_balancer.decisions.quotas import QUOTA_BURST_S, Quotas
 from load_balancer.decisions.request import Request
@@ -144,8 +143,8 @@
 class DenseAdmission(AdmissionControl):
     """Puts the work of every class in order, asked for or not."""
 
-    def sort_demand(self, settings: Settings, classes: RequestClasses) -> None:
-        demand = self._demand
+    def sort_demand(self) -> None:
+        demand, settings, classes = self._demand, self._context.settings, self._context.classes
         assert isinstance(demand, DenseDemand)
         served = [demand.served.get(i, 0.0) for i in range(len(demand.asked))]
         for counts, dense in ((demand.within_quota, demand.asked), (demand.over_quota, demand.beyond)):
@@ -156,7 +155,7 @@
         shares = (s / a if a else 1.0 for s, a in zip(served, demand.asked, strict=True))
         self.worst_served_share = min(shares)
         graded = [
-            (self.priority(classes[index], over, settings), counts[index] * classes[index].unloaded_us)
+            (self.priority(classes[index], over), counts[index] * classes[index].unloaded_us)
             for over, counts in ((False, demand.asked), (True, demand.beyond))
             for index in range(len(classes))
         ]
