--- /dev/null
+++ b/lab/model/attempt_checks.py
@@ -0,0 +1,52 @@
+"""Checks of attempts against the rules, and what their gateways have been notified of."""
+
+from __future__ import annotations
+
+from lab.model.endpoint import ModelEndpoint
+from lab.model.fleet import EndpointFleet
+from lab.model.gateway import ModelGateway
+from lab.model.registry import Registry
+from lab.model.requests import GatewayRequest
+from lab.model.rules import Rules
+from load_balancer.decisions.endpoint import EndpointStatus
+from load_balancer.decisions.settings import DeduplicationScope
+
+
+class AttemptChecks:
+    """What the rules say of an attempt as it is sent."""
+
+    def __init__(self, fleet: EndpointFleet, registry: Registry, rules: Rules) -> None:
+        self._fleet, self._registry, self._rules = fleet, registry, rules
+
+    def check(self, gateway: ModelGateway, request: GatewayRequest, endpoint: ModelEndpoint) -> None:
+        """Check an attempt that is about to be sent."""
+        scope = request.request_class.scope
+        attempted = [self._fleet.endpoints[attempt.endpoint_index] for attempt in request.attempts]
+        groups = [deduplication_group(scope, earlier) for earlier in attempted]
+        self._rules.check_send(request, deduplication_group(scope, endpoint), groups)
+        endpoint_id = self._fleet.ids[endpoint.index]
+        notified_us = gateway.stop_notified_us.get(endpoint_id)
+        if notified_us is None:
+            assumed = self._registry.assumed_notice(gateway, endpoint_id)
+            if assumed is not None and assumed.entry.status is not EndpointStatus.READY:
+                notified_us = assumed.notified_us
+        self._rules.check_target(gateway.index, endpoint.index, notified_us)
+
+    def knows_start(self, gateway: ModelGateway, endpoint: ModelEndpoint) -> bool:
+        """Whether the gateway has been notified, or counts as notified, of an endpoint's last start."""
+        endpoint_id = self._fleet.ids[endpoint.index]
+        entry = gateway.list.get(endpoint_id)
+        if entry is not None and entry.started_us == endpoint.started_us:
+            return True
+        assumed = self._registry.assumed_notice(gateway, endpoint_id)
+        return assumed is not None and assumed.entry.started_us == endpoint.started_us
+
+
+def deduplication_group(scope: DeduplicationScope, endpoint: ModelEndpoint) -> int:
+    """The group of endpoints that drops the repeats of a keyed request."""
+    match scope:
+        case DeduplicationScope.ZONE:
+            return endpoint.zone
+        case DeduplicationScope.GROUP:
+            return endpoint.rack
+    return 0
--- a/lab/model/attempts.py
+++ b/lab/model/attempts.py
@@ -6,22 +6,21 @@
 from functools import partial
 from typing import Protocol
 
+from lab.model.attempt_checks import AttemptChecks
 from lab.model.clients import Clients
-from lab.model.endpoint import Job, LoadReport, ModelEndpoint
+from lab.model.endpoint import ModelEndpoint
 from lab.model.engine import Clock, to_us
 from lab.model.fleet import EndpointFleet
 from lab.model.gateway import ModelGateway
+from lab.model.job import Job, LoadReport
 from lab.model.network import Network
-from lab.model.registry import Registry
 from lab.model.requests import Attempt, GatewayRequest, RequestEnd
 from lab.model.rules import Rule, Rules
 from lab.model.run_record import RunRecord
 from lab.model.scenario import Scenario
 from lab.model.workload import ATTEMPTS, Workload
 from load_balancer.decisions.actions import Cancel, Send
-from load_balancer.decisions.endpoint import EndpointStatus
 from load_balancer.decisions.events import AttemptEnded, Outcome
-from load_balancer.decisions.settings import DeduplicationScope
 
 REUSABLE = frozenset({Outcome.OK, Outcome.ERROR, Outcome.REJECTED})  # the connection can be used again
 ATTEMPTS_PER_TRY = 4  # that draw losses of their own
@@ -45,14 +44,14 @@
         workload: Workload,
         network: Network,
         fleet: EndpointFleet,
-        registry: Registry,
+        checks: AttemptChecks,
         clients: Clients,
         rules: Rules,
         record: RunRecord,
     ) -> None:
         self._clock, self._terms, self._workload = clock, scenario.fleet, workload
         self._connect_timeout_us = to_us(scenario.network.connect_timeout_ms / 1e3)
-        self._network, self._fleet, self._registry = network, fleet, registry
+        self._network, self._fleet, self._checks = network, fleet, checks
         self._clients, self._rules, self._record = clients, rules, record
 
     def send(self, gateway: ModelGateway, action: Send) -> None:
@@ -63,7 +62,7 @@
             self._rules.report(Rule.FAULT, gateway.index, what)
             return
         endpoint = self._fleet.by_id(action.endpoint_id)
-        self._check_rules(gateway, request, endpoint)
+        self._checks.check(gateway, request, endpoint)
         number = len(request.attempts)
         attempt = Attempt(endpoint.index, now_us)
         request.attempts.append(attempt)
@@ -95,28 +94,6 @@
             if attempt.outcome is None:
                 self._release(gateway, attempt, Outcome.RESET)
 
-    def _check_rules(self, gateway: ModelGateway, request: GatewayRequest, endpoint: ModelEndpoint) -> None:
-        scope = request.request_class.scope
-        attempted = [self._fleet.endpoints[attempt.endpoint_index] for attempt in request.attempts]
-        groups = [deduplication_group(scope, earlier) for earlier in attempted]
-        self._rules.check_send(request, deduplication_group(scope, endpoint), groups)
-        endpoint_id = self._fleet.ids[endpoint.index]
-        notified_us = gateway.stop_notified_us.get(endpoint_id)
-        if notified_us is None:
-            assumed = self._registry.assumed_notice(gateway, endpoint_id)
-            if assumed is not None and assumed.entry.status is not EndpointStatus.READY:
-                notified_us = assumed.notified_us
-        self._rules.check_target(gateway.index, endpoint.index, notified_us)
-
-    def _knows_start(self, gateway: ModelGateway, endpoint: ModelEndpoint) -> bool:
-        """Whether the gateway has been notified, or counts as notified, of an endpoint's last start."""
-        endpoint_id = self._fleet.ids[endpoint.index]
-        entry = gateway.list.get(endpoint_id)
-        if entry is not None and entry.started_us == endpoint.started_us:
-            return True
-        assumed = self._registry.assumed_notice(gateway, endpoint_id)
-        return assumed is not None and assumed.entry.started_us == endpoint.started_us
-
     def _transmit(
         self, gateway: ModelGateway, request: GatewayRequest, attempt: Attempt, end: EndAttempt
     ) -> None:
@@ -139,7 +116,7 @@
             self._terms.handshake_ms * 1e3 if idle is None else 0.0,
             self._workload.blocked_us[row],
             self._workload.fails[row],
-            self._knows_start(gateway, endpoint),
+            self._checks.knows_start(gateway, endpoint),
             gateway.index,
             partial(self._return_answer, gateway, endpoint, request, attempt, end),
             partial(self._return_reset, gateway, endpoint, end),
@@ -252,13 +229,3 @@
         if outcome not in REUSABLE and attempt.job is not None and reached:
             delay_us = self._network.delay_us(gateway.zone, endpoint)
             self._clock.call_at(self._clock.now_us + delay_us, endpoint.drop, attempt.job)
-
-
-def deduplication_group(scope: DeduplicationScope, endpoint: ModelEndpoint) -> int:
-    """The group of endpoints that drops the repeats of a keyed request."""
-    match scope:
-        case DeduplicationScope.ZONE:
-            return endpoint.zone
-        case DeduplicationScope.GROUP:
-            return endpoint.rack
-    return 0
--- a/lab/model/lifecycle.py
+++ b/lab/model/lifecycle.py
@@ -7,10 +7,11 @@
 
 from lab.model.attempts import Attempts
 from lab.model.clients import Clients
-from lab.model.endpoint import ModelEndpoint, Overload
+from lab.model.endpoint import ModelEndpoint
 from lab.model.fleet import EndpointFleet
 from lab.model.front import FrontLayer
 from lab.model.gateway import ModelGateway
+from lab.model.overload import Overload
 from lab.model.registry import Registry
 from lab.model.requests import RequestEnd
 from lab.model.rules import Rules
--- a/lab/model/requests.py
+++ b/lab/model/requests.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from lab.model.endpoint import Job
+from lab.model.job import Job
 from lab.model.scenario import TrafficClass
 from load_balancer.decisions.events import Outcome
 
--- a/lab/model/samples.py
+++ b/lab/model/samples.py
@@ -4,9 +4,10 @@
 
 from collections.abc import Sequence
 
-from lab.model.endpoint import JobState, ModelEndpoint
+from lab.model.endpoint import ModelEndpoint
 from lab.model.fleet import EndpointFleet
 from lab.model.gateway import ModelGateway
+from lab.model.job import JobState
 from load_balancer.decisions.balancer import Balancer
 
 MAX_ENDPOINTS = 100  # of which each is kept; of larger fleets there are the zones
--- a/lab/model/world.py
+++ b/lab/model/world.py
@@ -2,7 +2,10 @@
 
 from __future__ import annotations
 
+from collections.abc import Sequence
+
 from lab.model.actions import ActionExecutor, HealthChecks, PeerMessages
+from lab.model.attempt_checks import AttemptChecks
 from lab.model.attempts import Attempts
 from lab.model.clients import Clients
 from lab.model.engine import START_US, Clock, to_us
@@ -21,6 +24,7 @@
 from lab.model.scenario import Scenario
 from lab.model.workload import draw_workload
 from lab.schedule import stream
+from load_balancer.decisions.endpoint import Endpoint
 
 SWEEP_US = 1_000_000
 TAIL_S = 3.0  # that a run goes on after the last deadline
@@ -57,16 +61,27 @@
             self.workload,
             self._network,
             self.fleet,
-            self.registry,
+            AttemptChecks(self.fleet, self.registry, self.rules),
             self._clients,
             self.rules,
             self.record,
         )
+        self._start_gateways(create_policy, entries, seed)
+        self._schedule_faults(seed)
+        self._clients.start()
+        self.clock.call_at(START_US + SWEEP_US, self._sweep)
+
+    def play(self) -> None:
+        """Run until the last request has ended."""
+        longest_s = max(c.timeout_ms for c in self.scenario.traffic.classes) / 1e3
+        self.clock.run(START_US + to_us(self.scenario.seconds + longest_s + TAIL_S))
+
+    def _start_gateways(self, create_policy: CreatePolicy, entries: Sequence[Endpoint], seed: int) -> None:
         executor = self._make_executor(seed)
-        for index in range(scenario.fleet.gateways):
+        for index in range(self.scenario.fleet.gateways):
             gateway = ModelGateway(
                 index,
-                make_settings(scenario, index),
+                make_settings(self.scenario, index),
                 self.clock,
                 self.fleet.endpoints,
                 entries,
@@ -75,14 +90,6 @@
                 stream(seed, f"gateway {index}"),
             )
             self.gateways.append(gateway)
-        self._schedule_faults(seed)
-        self._clients.start()
-        self.clock.call_at(START_US + SWEEP_US, self._sweep)
-
-    def play(self) -> None:
-        """Run until the last request has ended."""
-        longest_s = max(c.timeout_ms for c in self.scenario.traffic.classes) / 1e3
-        self.clock.run(START_US + to_us(self.scenario.seconds + longest_s + TAIL_S))
 
     def _make_executor(self, seed: int) -> ActionExecutor:
         peers = PeerMessages(self.clock, self.scenario, self._network, self.gateways, self.record, seed)
--- a/lab/page/table_sections.py
+++ b/lab/page/table_sections.py
@@ -105,6 +105,13 @@
     parts.append(
         f"<p>{total} broken in {html.count(runs, 'day')}, of which the first of a day are named:</p>"
     )
+    parts.append(_violation_table(view, found[:MAX_VIOLATIONS]))
+    if len(found) > MAX_VIOLATIONS:
+        parts.append(html.note(f"{len(found) - MAX_VIOLATIONS} more are named in {FILE}."))
+    return "\n".join(parts)
+
+
+def _violation_table(view: View, found: list[tuple[str, int, Result]]) -> str:
     rows = [
         [
             view.label(policy),
@@ -114,13 +121,10 @@
             str(violation["gateway"]),
             escape(str(violation["what"])),
         ]
-        for policy, seed, violation in found[:MAX_VIOLATIONS]
+        for policy, seed, violation in found
     ]
     head = ("policy", "seed", "rule", "second", "gateway", "what")
-    parts.append(html.table(head, rows, text_column=6))
-    if len(found) > MAX_VIOLATIONS:
-        parts.append(html.note(f"{len(found) - MAX_VIOLATIONS} more are named in {FILE}."))
-    return "\n".join(parts)
+    return html.table(head, rows, text_column=6)
 
 
 def _plot_violations(plots: Plots, found: list[tuple[str, int, Result]]) -> str:
--- a/tests/lab/model/test_endpoint.py
+++ b/tests/lab/model/test_endpoint.py
@@ -9,8 +9,10 @@
 from hypothesis import strategies as st
 
 from lab.model import scenario_files
-from lab.model.endpoint import Job, LoadReport, ModelEndpoint, Overload
+from lab.model.endpoint import ModelEndpoint
 from lab.model.engine import START_US, Clock
+from lab.model.job import Job, LoadReport
+from lab.model.overload import Overload
 from load_balancer.decisions.events import Outcome
 from tests.lab.model.support import TINY
 
