--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -2,35 +2,30 @@
 
 from __future__ import annotations
 
-import asyncio
 import json
 import signal
 import subprocess
 import sys
 import tempfile
 import time
-from collections.abc import Callable, Coroutine
 from pathlib import Path
-from typing import Any, TypeVar
+from typing import Any
 
 import click
 import msgspec
 import psutil
-import uvloop
 
-from lab import module, reload, report, scale, schedule, up
+from lab import module, reload, reload_report, report, scale, schedule, up
 from lab.model.commands import compare_command, report_command, run_command
 from lab.processes import ChildError
 from lab.records import Plan
-from lab.rig import ReportProgress
+from lab.running import run_interruptible, run_to_folder
 from lab.tables import table
 from load_balancer.config.file import parse_config
 
 DEFAULT_SIZES = ("10x3x2", "200x3x2", "4200x3x2", "10x3400x2", "10x3x2300")
 POLL_S = 0.05
 
-T = TypeVar("T")
-
 
 class OneLine(click.Group):
     """Says in one line what is wrong with the arguments, and ends with 2."""
@@ -207,7 +202,7 @@
         simulated_rate=hollow_rate,
         **sizes,
     )
-    return played(out, lambda say: scale.play(plan, out, say), report.report)
+    return run_to_folder(out, lambda report_progress: scale.play(plan, out, report_progress), report.report)
 
 
 def checked_bound(memory_mb: int | None) -> int:
@@ -218,36 +213,6 @@
     return memory_mb or most
 
 
-def played(
-    out: Path,
-    play: Callable[[ReportProgress], Coroutine[Any, Any, dict[str, Any]]],
-    tell: Callable[[dict[str, Any]], str],
-) -> int:
-    """A run with its result in the directory, its table printed and its progress on standard error."""
-    try:
-        out.mkdir(parents=True, exist_ok=True)
-    except OSError as error:
-        raise click.BadParameter(f"{out} cannot be made: {error.strerror}") from None
-    began = time.monotonic()
-
-    def say(text: str) -> None:
-        print(f"[{time.monotonic() - began:6.1f} s] {text}", file=sys.stderr, flush=True)
-
-    try:
-        found = run_interruptible(play(say))
-    except ChildError as error:
-        print(f"lab: {error}; see {out / 'logs'}", file=sys.stderr)
-        return 1
-    if found is None:
-        print("lab: interrupted; every child has ended", file=sys.stderr)
-        return 130
-    (out / "result.json").write_text(json.dumps(found, indent=1) + "\n", encoding="utf-8")
-    print(tell(found))
-    if not found["schedule"]["kept"]:
-        return 3
-    return 1 if found["over_bound"] or found["broken"] else 0
-
-
 @lab.command("reload")
 @click.option("--servers", type=click.IntRange(4, 4200), default=200, show_default=True)
 @click.option("--routes", type=click.IntRange(1, 10_000), default=100, show_default=True)
@@ -293,7 +258,9 @@
 def reload_command(out: Path, memory_mb: int | None, hollow: int, **sizes: Any) -> int:
     """Changes of one tenant under way: result.json in the directory, and one table."""
     plan = reload.Plan(memory_mb=checked_bound(memory_mb), simulated=hollow, **sizes)
-    return played(out, lambda say: reload.play(plan, out, say), reload.report)
+    return run_to_folder(
+        out, lambda report_progress: reload.play(plan, out, report_progress), reload_report.report
+    )
 
 
 @lab.command("up")
@@ -331,28 +298,6 @@
     return 0
 
 
-def run_interruptible(play: Coroutine[Any, Any, T]) -> T | None:
-    """What it returns; None once SIGINT or SIGTERM has ended it, after its own tidying up."""
-
-    async def main() -> T | None:
-        loop, task = asyncio.get_running_loop(), asyncio.ensure_future(play)
-
-        def interrupt() -> None:
-            for number in (signal.SIGINT, signal.SIGTERM):  # once: the tidying up is not interrupted
-                loop.add_signal_handler(number, lambda: None)
-            task.cancel()
-
-        for number in (signal.SIGINT, signal.SIGTERM):
-            loop.add_signal_handler(number, interrupt)
-        try:
-            return await task
-        except asyncio.CancelledError:
-            return None
-
-    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        return runner.run(main())
-
-
 lab.add_command(run_command)
 lab.add_command(compare_command)
 lab.add_command(report_command)
--- /dev/null
+++ b/lab/client_connections.py
@@ -0,0 +1,187 @@
+"""Connections of clients to some addresses, and the requests sent over them."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from typing import cast
+
+import httptools
+
+from lab.child import Hist
+from lab.messages import Address, TargetResult
+
+TIMEOUT_S = 2.0  # of every request
+CONNECT_S = 1.0
+
+
+class Target:
+    """Connections to some addresses, and what came of the requests sent there."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, addresses: list[Address]) -> None:
+        self.loop = loop
+        self.addresses = addresses
+        self.idle: list[list[Connection]] = [[] for _ in addresses]
+        self.hist = Hist()
+        self.counts: dict[str, int] = {}
+        self.bytes = 0
+        self.in_flight = 0
+        self.tasks: set[asyncio.Task[None]] = set()
+
+    def send(self, index: int, payload: bytes, expected: bytes, counted: bool) -> None:
+        """Send a request to the address of an index."""
+        self.in_flight += 1
+        ClientRequest(self, index, payload, expected, counted).send()
+
+    def count_end(self, what: str, began_ns: int, counted: bool) -> None:
+        """Count how a request ended, and its latency where it was served."""
+        self.in_flight -= 1
+        if counted:
+            self.counts[what] = self.counts.get(what, 0) + 1
+            if what == "200":
+                self.hist.add((time.perf_counter_ns() - began_ns) / 1e3)
+
+    def close(self) -> None:
+        """Close all idle connections."""
+        for idle in self.idle:
+            for connection in list(idle):
+                connection.abort()
+
+    def result(self) -> TargetResult:
+        """What came of all requests."""
+        return TargetResult(self.counts, self.hist.text(), self.bytes)
+
+
+class ClientRequest:
+    """One request, until its answer has come whole, its time is over or its connection has gone."""
+
+    def __init__(self, target: Target, index: int, payload: bytes, expected: bytes, counted: bool) -> None:
+        self.target, self.index, self.payload, self.expected = target, index, payload, expected
+        self.counted = counted
+        self.began_ns = time.perf_counter_ns()
+        self.connection: Connection | None = None
+        self.may_resend = True
+        self.done = False
+        self.timer = target.loop.call_later(TIMEOUT_S, self.give_up)
+
+    def send(self) -> None:
+        """Send it over an idle connection, or a new one."""
+        idle = self.target.idle[self.index]
+        if idle:
+            idle.pop().write(self)
+        else:
+            task = self.target.loop.create_task(self.connect())
+            self.target.tasks.add(task)
+            task.add_done_callback(self.target.tasks.discard)
+
+    async def connect(self) -> None:
+        """Open a connection and send it there."""
+        target = self.target
+        connection = Connection(target, self.index)
+        try:
+            async with asyncio.timeout(CONNECT_S):
+                await target.loop.create_connection(lambda: connection, *target.addresses[self.index])
+        except (OSError, TimeoutError):
+            self.end("no connection")
+            return
+        if self.done:
+            connection.abort()
+        else:
+            connection.write(self)
+
+    def give_up(self) -> None:
+        """End it once its time is over."""
+        if self.connection is not None:
+            self.connection.abort()
+        self.end("out of time")
+
+    def lost(self, reused: bool) -> None:
+        """A close that crossed the request: it is sent once more on a new connection."""
+        if self.done:
+            return
+        self.connection = None
+        if reused and self.may_resend:
+            self.may_resend = False
+            self.target.idle[self.index].clear()
+            self.send()
+        else:
+            self.end("lost")
+
+    def end(self, what: str) -> None:
+        """End it once, with what came of it."""
+        if not self.done:
+            self.done = True
+            self.timer.cancel()
+            self.target.count_end(what, self.began_ns, self.counted)
+
+
+class Connection(asyncio.Protocol):
+    """A connection that serves one request at a time."""
+
+    def __init__(self, target: Target, index: int) -> None:
+        self.target, self.index = target, index
+        self.transport: asyncio.Transport | None = None
+        self.request: ClientRequest | None = None
+        self.served = 0
+        self.parser = httptools.HttpResponseParser(self)
+        self.body = b""
+        self.keep = True
+        self.complete = False
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """See asyncio.Protocol."""
+        self.transport = cast(asyncio.Transport, transport)
+
+    def write(self, request: ClientRequest) -> None:
+        """Send a request."""
+        assert self.transport is not None
+        self.request, request.connection = request, self
+        self.target.bytes += len(request.payload)
+        self.transport.write(request.payload)
+
+    def data_received(self, data: bytes) -> None:
+        """See asyncio.Protocol."""
+        self.target.bytes += len(data)
+        try:
+            self.parser.feed_data(data)
+        except httptools.HttpParserError:
+            self.abort()
+            return
+        if not self.complete:
+            return
+        request, self.request, self.complete = self.request, None, False
+        status = self.parser.get_status_code()
+        self.served += 1
+        if self.keep and self.transport is not None and not self.transport.is_closing():
+            self.target.idle[self.index].append(self)
+        else:
+            self.abort()
+        if request is not None:
+            wrong = status == 200 and self.body != request.expected
+            request.end("wrong body" if wrong else str(status))
+
+    def on_message_begin(self) -> None:
+        """See httptools."""
+        self.body = b""
+
+    def on_body(self, body: bytes) -> None:
+        """See httptools."""
+        self.body += body
+
+    def on_message_complete(self) -> None:
+        """See httptools."""
+        self.complete, self.keep = True, self.parser.should_keep_alive()
+
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """See asyncio.Protocol."""
+        idle = self.target.idle[self.index]
+        if self in idle:
+            idle.remove(self)
+        request, self.request = self.request, None
+        if request is not None:
+            request.lost(reused=self.served > 0)
+
+    def abort(self) -> None:
+        """Close at once."""
+        if self.transport is not None:
+            self.transport.abort()
--- /dev/null
+++ b/lab/probes.py
@@ -0,0 +1,50 @@
+"""Probes of real gateways: how soon idle connections to an endpoint that leaves are closed."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+import time
+
+from lab import schedule
+from lab.messages import ChangeStatus, ListIdle, ReadCloses, WatchIdle
+from lab.records import Probes
+from lab.rig import Rig
+
+PROBE_GAP_S = 0.2
+PROBE_POLL_S = 0.05
+PROBE_WAIT_S = 3.0  # for a change to be in force
+
+
+async def probe_closes(rig: Rig, changes: list[schedule.Change], start_ns: int) -> Probes:
+    """Endpoints that gateways hold idle connections to begin to leave: how soon are those closed?
+
+    Seen from outside, at the stand-in. No endpoint of the churn is chosen. A change while discovery is down
+    counts from the change, not from the return.
+    """
+    rng, found = random.Random(rig.plan.seed), Probes()
+    taken = {number for _, _, numbers in changes for number in numbers}
+    end = start_ns / 1e9 + rig.plan.seconds
+    while time.monotonic() < end and rig.reals:
+        await asyncio.sleep(PROBE_GAP_S)
+        idle = [n for n, _ in await rig.statements.ask(ListIdle()) if n not in taken]
+        if idle:
+            await probe_endpoint(rig, rng.choice(idle), found)
+    return found
+
+
+async def probe_endpoint(rig: Rig, endpoint: int, found: Probes) -> None:
+    """Let an endpoint leave and come back, and add how soon its idle connections were closed."""
+    await rig.statements.ask(WatchIdle(endpoint=endpoint))
+    since_ns = await rig.registry.ask(ChangeStatus(endpoint=endpoint, status="leaving"))
+    until = time.monotonic() + PROBE_WAIT_S
+    while True:
+        await asyncio.sleep(PROBE_POLL_S)
+        closes = await rig.statements.ask(ReadCloses(endpoint=endpoint, since_ns=since_ns))
+        if not closes.standing or time.monotonic() >= until:
+            break
+    await rig.registry.ask(ChangeStatus(endpoint=endpoint, status="active"))
+    found.count += 1
+    found.standing += closes.standing
+    for after_us in closes.after_us:
+        found.hist.add(after_us)
--- a/lab/reload.py
+++ b/lab/reload.py
@@ -3,29 +3,22 @@
 from __future__ import annotations
 
 import asyncio
-import json
 import math
-import os
-import signal
 import time
-from collections.abc import Iterator
 from pathlib import Path
 from typing import Any
 
 import msgspec
 
 from lab import fit, records
-from lab.changes import Change, Document, changes
+from lab.change_driver import ChangeDriver
+from lab.changes import changes
 from lab.child import Hist
-from lab.clients import ask_bytes
 from lab.figures import check_schedule, machine
 from lab.messages import MeasureChanges, StartPolling, StopPolling
 from lab.processes import Children, MemoryBoundError
-from lab.readiness import fetch
-from lab.report import NO_FIGURES, number, problem_notes
-from lab.rig import RealGateway, ReportProgress, Rig
+from lab.rig import ReportProgress, Rig
 from lab.scale import WARM_S
-from lab.tables import table
 
 DAY_S = 86_400
 DAILY = 380  # changes a day that operators make
@@ -33,14 +26,11 @@
 GATEWAYS = 490
 PAUSE_MS = 5.0
 LEAST_CHANGES = 3
-IN_FORCE_S = 30.0  # for a change to be in force, at most
-POLL_S = 0.001
 SAMPLES = 20  # of memory
 ALONE = 5  # changes whose processor time is counted, with nothing else under way
 ALONE_S = 0.2  # for each, at least
 ALONE_TIMES = 3.0  # as long as the slowest change so far
 MAX_SIMULATED_CHANGES = 100  # the first ones
-FIRST_PROBE = 1 << 60  # request ids that no client has
 
 LATENCIES = ("p50_ms", "p99_ms", "most_ms")
 
@@ -97,14 +87,9 @@
     def __init__(self, plan: Plan, children: Children, out: Path, report_progress: ReportProgress) -> None:
         self.plan, self.report_progress = plan, report_progress
         self.rig = Rig(make_scale_plan(plan), children, out, report_progress)
-        self.upcoming: Iterator[Change] = iter(
-            changes(plan.seed, plan.tenants, plan.among + ALONE + plan.changes)
+        self.driver = ChangeDriver(
+            changes(plan.seed, plan.tenants, plan.among + ALONE + plan.changes), self.rig.problems
         )
-        self.documents: dict[Path, Document] = {}
-        self.file_bytes = 0
-        self.probes = 0
-        self.slowest_s = 0.0
-        self.renamed_ns = 0
 
     async def open(self) -> None:
         """Start all processes, and read the gateways' files."""
@@ -114,78 +99,7 @@
         await rig.start_reals()
         self.poller = await rig.children.start("pulse", "lab.changes")
         for gateway in rig.reals:
-            path = self.path(gateway)
-            self.documents[path] = Document(json.loads(path.read_text(encoding="utf-8")))
-
-    def path(self, gateway: RealGateway) -> Path:
-        """The gateway's configuration file."""
-        return self.rig.out / "logs" / f"{gateway.child.name}.json"
-
-    # A change
-
-    async def write(self) -> Change:
-        """Write the next change to each gateway's file; none has been signalled."""
-        change = next(self.upcoming)
-        for path, document in self.documents.items():
-            document.apply(change)
-            self.file_bytes = document.write(path.with_suffix(".new"))
-            # Some file systems write the whole file to the disk before they rename it over another.
-            await asyncio.to_thread(os.replace, path.with_suffix(".new"), path)
-            self.renamed_ns = time.perf_counter_ns()
-        return change
-
-    def signal(self, gateway: RealGateway) -> int:
-        """Let the gateway read its file; returns when, in nanoseconds."""
-        gateway.child.check()
-        signalled_ns = time.perf_counter_ns()
-        os.kill(gateway.child.process.pid, signal.SIGHUP)
-        return signalled_ns
-
-    async def take(self, hists: dict[str, Hist]) -> None:
-        """One change at every gateway, until it is in force at all."""
-        change = await self.write()
-        await asyncio.gather(*(self.watch(gateway, change, hists) for gateway in self.rig.reals))
-
-    async def watch(self, gateway: RealGateway, change: Change, hists: dict[str, Hist]) -> None:
-        """Asks for the tenant every millisecond from the signal on, on a connection of its own."""
-        before, after = (400, 200) if change.added else (200, 400)
-        reader, writer = await asyncio.open_connection(*gateway.address)
-        try:
-            async with asyncio.timeout(IN_FORCE_S):
-                if (status := (await self.ask(reader, writer, change))[0]) != before:
-                    self.rig.problems.broken.append(f"{before} expected before a change, got {status}")
-                signalled_ns = self.signal(gateway)
-                while True:
-                    status, asked_ns = await self.ask(reader, writer, change)
-                    if status == after:
-                        break
-                    await asyncio.sleep(POLL_S)
-        except TimeoutError:
-            gateway.child.check()
-            self.rig.problems.broken.append(f"a change was not in force within {IN_FORCE_S:g} s")
-            return
-        finally:
-            writer.close()
-        done_ns = time.perf_counter_ns()
-        self.slowest_s = max(self.slowest_s, (done_ns - signalled_ns) / 1e9)
-        for what, ns in (
-            ("from_rename", done_ns - self.renamed_ns),  # of the last gateway's file
-            ("from_signal", done_ns - signalled_ns),
-            ("from_signal_to_asked", max(0, asked_ns - signalled_ns)),  # the first that was answered so
-            ("added_from_signal" if change.added else "dropped_from_signal", done_ns - signalled_ns),
-        ):
-            hists.setdefault(what, Hist()).add(ns / 1e3)
-
-    async def ask(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, change: Change
-    ) -> tuple[int, int]:
-        """The answer's status to a request of that tenant, and when it was asked."""
-        self.probes += 1
-        asked_ns = time.perf_counter_ns()
-        status, _ = await fetch(reader, writer, ask_bytes(0, change.number, FIRST_PROBE + 2 * self.probes))
-        return status, asked_ns
-
-    # Phases
+            self.driver.add(gateway, rig.out / "logs" / f"{gateway.child.name}.json")
 
     async def with_clients(self, every_s: float | None) -> dict[str, Any]:
         """Requests for a while, through the gateways and straight; with changes, or without."""
@@ -197,7 +111,7 @@
         await self.poller.ask(StartPolling(gateways=[gateway.address for gateway in rig.reals]))
         for n in range(plan.among if every_s else 0):
             await asyncio.sleep(max(0.0, begins + (n + 0.25) * plan.every_s - time.monotonic()))
-            await self.take(hists)
+            await self.driver.make_change(hists)
         targets = await finish()
         found: dict[str, Any] = {
             name: {**(Hist(target.latency).summary() or {}), "answers": target.counts}
@@ -210,18 +124,18 @@
         """Processor time of a change with no request under way, and no look until it is over."""
         reals, spent, idle = self.rig.reals, list[float](), list[float]()
         for _ in range(ALONE):
-            wait_s = max(ALONE_S, ALONE_TIMES * self.slowest_s)
-            change = await self.write()
+            wait_s = max(ALONE_S, ALONE_TIMES * self.driver.slowest_s)
+            change = await self.driver.write()
             for signals, into in ((False, idle), (True, spent)):
                 before = [gateway.child.cpu_s() for gateway in reals]
                 if signals:
                     for gateway in reals:
-                        self.signal(gateway)
+                        self.driver.signal(gateway)
                 await asyncio.sleep(wait_s)
                 into += [g.child.cpu_s() - b for g, b in zip(reals, before, strict=True)]
             for gateway in reals:
                 reader, writer = await asyncio.open_connection(*gateway.address)
-                if (await self.ask(reader, writer, change))[0] != (200 if change.added else 400):
+                if (await self.driver.ask(reader, writer, change))[0] != (200 if change.added else 400):
                     self.rig.problems.broken.append(f"a change was not in force after {wait_s:g} s")
                 writer.close()
         each_s = (sum(spent) - sum(idle)) / len(spent)
@@ -231,7 +145,7 @@
             "cpu_s_each": each_s,
             "cpu_s_most": max(spent),
             "idle_cpu_s_each": sum(idle) / len(idle),
-            "file_bytes": self.file_bytes,
+            "file_bytes": self.driver.file_bytes,
             "fleet_cores": share,
             "gateway_core_share": share / GATEWAYS,
             "arithmetic": f"{DAILY} changes a day x {TIMES} x {GATEWAYS} gateways x {each_s:.4f} s "
@@ -245,7 +159,7 @@
         held: dict[str, list[int]] = {g.child.name: [g.child.resident()] for g in rig.reals}
         counts, began, before = [0], time.monotonic(), sum(g.child.cpu_s() for g in rig.reals)
         for n in range(1, plan.changes + 1):
-            await self.take(hists)
+            await self.driver.make_change(hists)
             if n % every == 0:
                 counts.append(n)
                 for gateway in rig.reals:
@@ -339,82 +253,3 @@
             "memory_most_mb": children.most_bytes / 1e6,
             "figures" if kept["kept"] else "void": figures,
         }
-
-
-TARGET_TITLES = (("gateway", "requests"), ("direct", "straight"), ("loop", "loop alone"))
-MEMORY_TITLES = (("first", "first_bytes"), ("a tenth", "after_a_tenth_bytes"), ("last", "last_bytes"))
-COLUMNS = ("what", "count", "p50 ms", "p99", "most", "processor most")
-
-
-def report(found: dict[str, Any]) -> str:
-    """The table; an overloaded rig has no figures, only the reasons."""
-    notes = problem_notes(found)
-    figures = found.get("figures")
-    if figures is None:
-        return "\n".join([*notes, NO_FIGURES])
-    rows = [*request_rows(figures), *change_rows(figures)]
-    return "\n".join([table(COLUMNS, rows), *notes, *pace_notes(figures), *memory_notes(figures)])
-
-
-def row(what: str, summary: dict[str, Any] | None) -> list[str]:
-    """A line on a latency."""
-    found = summary or {}
-    cells = [number(found.get(key)) for key in (*LATENCIES, "most_cpu_ms")]
-    return [what, str(found.get("count", "-")), *cells]
-
-
-def request_rows(figures: dict[str, Any]) -> list[list[str]]:
-    """Lines on requests with and without changes, and on the difference."""
-    rows = [
-        row(f"{title} {when}", figures[phase][who])
-        for phase, when in (("quiet", "without changes"), ("changes", "with changes"))
-        for who, title in TARGET_TITLES
-        if phase in figures
-    ]
-    added = figures.get("added", {})
-    return rows + [row(f"{title}: added", added[who]) for who, title in TARGET_TITLES if who in added]
-
-
-def change_rows(figures: dict[str, Any]) -> list[list[str]]:
-    """Lines on how soon changes were in force, and on their steps at simulated gateways."""
-    rows = [
-        row(f"in force {what.replace('_', ' ')}, {title}", summary)
-        for phase, title in (("changes", "with requests"), ("many", "one after the other"))
-        for what, summary in figures.get(phase, {}).get("in_force", {}).items()
-    ]
-    steps = figures.get("hollow", {}).get("steps", {})
-    return rows + [row(f"hollow: {name}", step) for name, step in steps.items()]
-
-
-def pace_notes(figures: dict[str, Any]) -> list[str]:
-    """What changes cost in pauses and processor time."""
-    notes = []
-    if "pause_over_5_ms" in figures:
-        day = figures["changes"]
-        notes.append(f"changes every {day['every_s']:g} s: {number(day['times_daily'])} times the daily rate")
-        notes.append(f"pause_over_5_ms: {str(figures['pause_over_5_ms']).lower()}")
-        notes.append(f"loop_over_5_ms: {str(figures['loop_over_5_ms']).lower()}")
-    if "alone" in figures:
-        cost = figures["alone"]
-        each_ms = cost["cpu_s_each"] * 1e3
-        notes.append(f"processor a change: {each_ms:.1f} ms; file: {cost['file_bytes']} bytes")
-        notes.append(cost["arithmetic"])
-    return notes
-
-
-def memory_notes(figures: dict[str, Any]) -> list[str]:
-    """The memory of each gateway, before and after changes."""
-    notes = []
-    for name, held in figures.get("many", {}).get("memory", {}).items():
-        steps = ", ".join(f"{title} {held[key] / 1e6:.1f} MB" for title, key in MEMORY_TITLES)
-        line, slope = held["line"], "too few samples"
-        if line is not None:
-            slope = f"{line['slope']:.0f} bytes a change (residual {line['residual']:.0f} bytes)"
-        notes.append(f"memory of {name}: {steps}; {slope}")
-    if "hollow" in figures:
-        simulated = figures["hollow"]
-        notes.append(
-            f"memory of a hollow gateway: {simulated['bytes_each'] / 1e6:.1f} MB, "
-            f"{simulated['bytes_each_after'] / 1e6:.1f} MB after {simulated['changes']} changes"
-        )
-    return notes
--- /dev/null
+++ b/lab/running.py
@@ -0,0 +1,85 @@
+"""Runs from the command line: interruptible, with a result file and an exit code."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import signal
+import sys
+import time
+from collections.abc import Callable, Coroutine
+from pathlib import Path
+from typing import Any, TypeVar
+
+import click
+import uvloop
+
+from lab.processes import ChildError
+from lab.rig import ReportProgress
+
+EXIT_FAILED = 1
+EXIT_OVERLOADED = 3  # the schedule was not kept
+EXIT_INTERRUPTED = 130
+
+T = TypeVar("T")
+
+
+def run_to_folder(
+    out: Path,
+    play: Callable[[ReportProgress], Coroutine[Any, Any, dict[str, Any]]],
+    make_report: Callable[[dict[str, Any]], str],
+) -> int:
+    """Run with the result in a directory, its table on standard output and progress on standard error.
+
+    Args:
+        out: The directory; it is made.
+        play: The run, given where to report progress.
+        make_report: The table of a result.
+
+    Returns:
+        The exit code.
+    """
+    try:
+        out.mkdir(parents=True, exist_ok=True)
+    except OSError as error:
+        raise click.BadParameter(f"{out} cannot be made: {error.strerror}") from None
+    began = time.monotonic()
+
+    def report_progress(text: str) -> None:
+        print(f"[{time.monotonic() - began:6.1f} s] {text}", file=sys.stderr, flush=True)
+
+    try:
+        found = run_interruptible(play(report_progress))
+    except ChildError as error:
+        print(f"lab: {error}; see {out / 'logs'}", file=sys.stderr)
+        return EXIT_FAILED
+    if found is None:
+        print("lab: interrupted; every child has ended", file=sys.stderr)
+        return EXIT_INTERRUPTED
+    (out / "result.json").write_text(json.dumps(found, indent=1) + "\n", encoding="utf-8")
+    print(make_report(found))
+    if not found["schedule"]["kept"]:
+        return EXIT_OVERLOADED
+    return EXIT_FAILED if found["over_bound"] or found["broken"] else 0
+
+
+def run_interruptible(play: Coroutine[Any, Any, T]) -> T | None:
+    """What it returns; None once SIGINT or SIGTERM has ended it, after its own tidying up."""
+
+    async def main() -> T | None:
+        loop, task = asyncio.get_running_loop(), asyncio.ensure_future(play)
+
+        def interrupt() -> None:
+            for number in (signal.SIGINT, signal.SIGTERM):  # once: the tidying up is not interrupted
+                loop.add_signal_handler(number, lambda: None)
+            task.cancel()
+
+        for number in (signal.SIGINT, signal.SIGTERM):
+            loop.add_signal_handler(number, interrupt)
+        try:
+            return await task
+        except asyncio.CancelledError:
+            return None
+
+    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
+        return runner.run(main())
--- a/lab/scale.py
+++ b/lab/scale.py
@@ -4,7 +4,6 @@
 
 import asyncio
 import math
-import random
 import time
 from collections.abc import Sequence
 from pathlib import Path
@@ -18,20 +17,17 @@
 from lab.messages import (
     AddGateways,
     AwaitChanges,
-    ChangeStatus,
     Command,
-    ListIdle,
     MeasureInForce,
     PlayChanges,
-    ReadCloses,
     ReadConfig,
     RestoreEndpoints,
     StartRequests,
     TakeWritten,
-    WatchIdle,
 )
+from lab.probes import probe_closes
 from lab.processes import Children, MemoryBoundError
-from lab.records import InForceRecord, Plan, Point, Probes, Reading, ScenarioRecord
+from lab.records import InForceRecord, Plan, Point, Reading, ScenarioRecord
 from lab.rig import START_S, ReportProgress, Rig
 
 PARTS = 4  # sizes of each kind, up to the one asked
@@ -41,9 +37,6 @@
 PER_PROCESS = 25  # simulated gateways at most
 LEAST_PROCESSES = psutil.cpu_count() or 1  # if there are as many gateways
 SEEDS_PER_PROCESS = 1000
-PROBE_GAP_S = 0.2
-PROBE_POLL_S = 0.05
-PROBE_WAIT_S = 3.0  # for a change to be in force
 SETTLE_S = 0.5
 WARM_S = 0.5
 
@@ -207,7 +200,7 @@
         finish = await rig.play_clients(
             rig.reals, plan.rate, plan.seconds, plan.routes, plan.tenants, warm=warm_s
         )
-    probes = await probe(rig, changes, start_ns)
+    probes = await probe_closes(rig, changes, start_ns)
     targets = await finish() if finish is not None else {}
     await rig.registry.ask(AwaitChanges())
     await asyncio.sleep(SETTLE_S)
@@ -227,40 +220,6 @@
             rig.problems.schedule.append(f"{name}: {process} took {busy:.2f} of a core")
 
 
-async def probe(rig: Rig, changes: list[schedule.Change], start_ns: int) -> Probes:
-    """Endpoints that gateways hold idle connections to begin to leave: how soon are those closed?
-
-    Seen from outside, at the stand-in. No endpoint of the churn is chosen. A change while discovery is down
-    counts from the change, not from the return.
-    """
-    rng, found = random.Random(rig.plan.seed), Probes()
-    taken = {number for _, _, numbers in changes for number in numbers}
-    end = start_ns / 1e9 + rig.plan.seconds
-    while time.monotonic() < end and rig.reals:
-        await asyncio.sleep(PROBE_GAP_S)
-        idle = [n for n, _ in await rig.statements.ask(ListIdle()) if n not in taken]
-        if idle:
-            await probe_endpoint(rig, rng.choice(idle), found)
-    return found
-
-
-async def probe_endpoint(rig: Rig, endpoint: int, found: Probes) -> None:
-    """Let an endpoint leave and come back, and add how soon its idle connections were closed."""
-    await rig.statements.ask(WatchIdle(endpoint=endpoint))
-    since_ns = await rig.registry.ask(ChangeStatus(endpoint=endpoint, status="leaving"))
-    until = time.monotonic() + PROBE_WAIT_S
-    while True:
-        await asyncio.sleep(PROBE_POLL_S)
-        closes = await rig.statements.ask(ReadCloses(endpoint=endpoint, since_ns=since_ns))
-        if not closes.standing or time.monotonic() >= until:
-            break
-    await rig.registry.ask(ChangeStatus(endpoint=endpoint, status="active"))
-    found.count += 1
-    found.standing += closes.standing
-    for after_us in closes.after_us:
-        found.hist.add(after_us)
-
-
 def sizes(most: int) -> list[int]:
     """Evenly up to the one asked."""
     return sorted({max(1, round(most * n / PARTS)) for n in range(1, PARTS + 1)})
