--- a/lab/__init__.py
+++ b/lab/__init__.py
@@ -1,1 +1,1 @@
-"""A scale run on loopback: stand-ins, clients, real and hollow gateways. load_balancer never imports it."""
+"""Runs on loopback: stand-ins, clients, real and simulated gateways. load_balancer never imports it."""
--- a/lab/figures.py
+++ b/lab/figures.py
@@ -16,7 +16,7 @@
 from lab.processes import Child
 from lab.records import Point, Problems, ScenarioRecord
 from lab.rig import Rig
-from lab.statements import SIDES
+from lab.statements import TARGETS
 
 FULL_CORE = 0.9  # of one process: it may no longer do everything when it is due
 UNITS = {
@@ -90,11 +90,11 @@
     return Traffic(sum(t.bytes for t in counted), sum(t.messages for t in counted))
 
 
-def discovery_traffic(scenarios: Scenarios, side: str) -> Traffic:
+def discovery_traffic(scenarios: Scenarios, gateway_kind: str) -> Traffic:
     """Between discovery and one kind of gateways."""
 
     def count(scenario: ScenarioRecord) -> Traffic:
-        before, after = scenario.before.registry[side], scenario.after.registry[side]
+        before, after = scenario.before.registry[gateway_kind], scenario.after.registry[gateway_kind]
         return Traffic(after.bytes - before.bytes, after.messages - before.messages)
 
     return total_traffic(scenarios, count)
@@ -138,9 +138,9 @@
 
 def make_roles(rig: Rig, scenarios: Scenarios) -> dict[str, Role]:
     """All roles that the run had."""
-    listed = {side: discovery_traffic(scenarios, side) for side in ("real", "hollow")}
-    served = {target: statement_traffic(scenarios, target) for target in SIDES}
-    sent = {target: client_traffic(scenarios, target) for target in SIDES}
+    listed = {kind: discovery_traffic(scenarios, kind) for kind in ("real", "hollow")}
+    served = {target: statement_traffic(scenarios, target) for target in TARGETS}
+    sent = {target: client_traffic(scenarios, target) for target in TARGETS}
     roles = {
         "registry": make_role(scenarios, [rig.registry], 1, *listed.values()),
         "statements": make_role(scenarios, [rig.statements], 1, *served.values()),
@@ -197,16 +197,16 @@
 def added(results: Sequence[dict[str, TargetResult]]) -> dict[str, Any] | None:
     """Latency through gateways and straight, and what gateways add, in milliseconds."""
     played = [targets for targets in results if targets]
-    hists = {target: join(Hist(targets[target].latency) for targets in played) for target in SIDES}
-    counts: dict[str, dict[str, int]] = {target: {} for target in SIDES}
+    hists = {target: join(Hist(targets[target].latency) for targets in played) for target in TARGETS}
+    counts: dict[str, dict[str, int]] = {target: {} for target in TARGETS}
     for targets in played:
-        for target in SIDES:
+        for target in TARGETS:
             for what, count in targets[target].counts.items():
                 counts[target][what] = counts[target].get(what, 0) + count
     found: dict[str, Any] = {
-        target: {**(hists[target].summary() or {}), "answers": counts[target]} for target in SIDES
+        target: {**(hists[target].summary() or {}), "answers": counts[target]} for target in TARGETS
     }
-    if not all(hists[target].count for target in SIDES):
+    if not all(hists[target].count for target in TARGETS):
         return found
     for percent in (50, 99):
         found[f"p{percent}_ms"] = hists["gateway"].at(percent) - hists["direct"].at(percent)
--- a/lab/messages.py
+++ b/lab/messages.py
@@ -98,7 +98,7 @@
 
     index: int
     late: str
-    sides: dict[str, RegistryCounters]
+    counters: dict[str, RegistryCounters]
 
 
 class ReadRegistryStats(Command[RegistryStats], frozen=True, tag="stats"):
@@ -169,7 +169,7 @@
     """The statement servers' counters; `late` is a histogram's text."""
 
     late: str
-    sides: dict[str, StatementCounters]
+    counters: dict[str, StatementCounters]
 
 
 class ReadStatementStats(Command[StatementStats], frozen=True, tag="stats"):
@@ -209,7 +209,7 @@
     """What came of all requests."""
 
     late: str
-    sides: dict[str, TargetResult]
+    targets: dict[str, TargetResult]
 
 
 class AwaitRequests(Command[ClientResult], frozen=True, tag="played"):
--- a/lab/model/samples.py
+++ b/lab/model/samples.py
@@ -10,7 +10,7 @@
 from lab.model.job import JobState
 from load_balancer.decisions.balancer import Balancer
 
-MAX_ENDPOINTS = 100  # of which each is kept; of larger fleets there are the zones
+MAX_ENDPOINTS = 100  # sampled one by one; larger fleets are sampled by zone alone beyond them
 
 
 def pending_work_ms(endpoint: ModelEndpoint) -> float:
--- a/lab/registry.py
+++ b/lab/registry.py
@@ -52,8 +52,8 @@
 class Call(asyncio.Protocol):
     """One connection of a gateway."""
 
-    def __init__(self, registry: Registry, side: str) -> None:
-        self.registry, self.side = registry, side
+    def __init__(self, registry: Registry, gateway_kind: str) -> None:
+        self.registry, self.gateway_kind = registry, gateway_kind
         self.parser = httptools.HttpRequestParser(self)
         self.target = b""
         self.transport: asyncio.Transport | None = None
@@ -91,7 +91,7 @@
     def write(self, data: bytes) -> None:
         """Send and count, unless it is closing."""
         if self.transport is not None and not self.transport.is_closing():
-            self.registry.stats[self.side]["bytes"] += len(data)
+            self.registry.stats[self.gateway_kind]["bytes"] += len(data)
             self.transport.write(data)
 
     def answer(self, status: int, body: bytes = b"") -> None:
@@ -123,18 +123,18 @@
         self.whole: tuple[int, bytes] = (-1, b"")
         self.late = Hist()
         self.stats: dict[str, dict[str, int]] = {
-            side: {"calls": 0, "turned_away": 0, "bytes": 0, "messages": 0} for side in LISTEN_HOSTS
+            kind: {"calls": 0, "turned_away": 0, "bytes": 0, "messages": 0} for kind in LISTEN_HOSTS
         }
 
     async def listen(self) -> dict[str, str]:
         """Listen; returns the addresses by kind of gateways."""
-        for side, host in LISTEN_HOSTS.items():
+        for kind, host in LISTEN_HOSTS.items():
             server = await self.loop.create_server(
-                partial(Call, self, side), host, self.ports[side], backlog=1024, reuse_address=True
+                partial(Call, self, kind), host, self.ports[kind], backlog=1024, reuse_address=True
             )
-            self.listeners[side] = server
-            self.ports[side] = server.sockets[0].getsockname()[1]
-        return {side: f"{host}:{self.ports[side]}" for side, host in LISTEN_HOSTS.items()}
+            self.listeners[kind] = server
+            self.ports[kind] = server.sockets[0].getsockname()[1]
+        return {kind: f"{host}:{self.ports[kind]}" for kind, host in LISTEN_HOSTS.items()}
 
     def go_down(self) -> None:
         """Stop listening and close all connections."""
@@ -163,13 +163,13 @@
         if path != PATH:
             call.answer(404)
             return
-        self.stats[call.side]["calls"] += 1
+        self.stats[call.gateway_kind]["calls"] += 1
         parameters = parse_qs(query.decode("latin-1"))
         now = self.loop.time()
         self.free_at = max(now, self.free_at) + 1.0 / CALLS_PER_S
         if self.free_at - now > MAX_WAIT_S:
             self.free_at -= 1.0 / CALLS_PER_S
-            self.stats[call.side]["turned_away"] += 1
+            self.stats[call.gateway_kind]["turned_away"] += 1
             self.loop.call_later(MAX_WAIT_S, call.answer, 503)
             return
         if parameters.get("stream") == ["1"]:
@@ -183,7 +183,7 @@
     def answer_list(self, call: Call) -> None:
         """Answer the whole list."""
         call.answer(200, self.whole_list())
-        self.stats[call.side]["messages"] += 1
+        self.stats[call.gateway_kind]["messages"] += 1
 
     def whole_list(self) -> bytes:
         """The list of now; made once for each index."""
@@ -201,7 +201,7 @@
         else:
             first = self.whole_list()
         call.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(first + b"\n"))
-        self.stats[call.side]["messages"] += 1
+        self.stats[call.gateway_kind]["messages"] += 1
         self.watches[call] = None
 
     def keep_alive(self) -> None:
@@ -230,7 +230,7 @@
         at_ns = time.monotonic_ns()
         for call in self.watches:
             call.write(line)
-            self.stats[call.side]["messages"] += 1
+            self.stats[call.gateway_kind]["messages"] += 1
         for entry in changed if restarted else ():  # a probe's are seen at the stand-ins
             known_id, status = endpoint_id_of(entry["name"]), STATUSES[entry["status"]].value
             self.written.append(WrittenChange(known_id, status, entry["since_ms"] * 1000, at_ns))
@@ -286,9 +286,11 @@
         """The counters, by kind of gateways."""
         watches = dict.fromkeys(LISTEN_HOSTS, 0)
         for call in self.watches:
-            watches[call.side] += 1
-        sides = {side: RegistryCounters(**stats, watches=watches[side]) for side, stats in self.stats.items()}
-        return RegistryStats(self.index, self.late.text(), sides)
+            watches[call.gateway_kind] += 1
+        counters = {
+            kind: RegistryCounters(**stats, watches=watches[kind]) for kind, stats in self.stats.items()
+        }
+        return RegistryStats(self.index, self.late.text(), counters)
 
 
 def message(index: int, whole: bool, entries: Iterable[fleet.EndpointEntry]) -> bytes:
--- a/lab/reload.py
+++ b/lab/reload.py
@@ -27,9 +27,9 @@
 PAUSE_MS = 5.0
 LEAST_CHANGES = 3
 SAMPLES = 20  # of memory
-ALONE = 5  # changes whose processor time is counted, with nothing else under way
-ALONE_S = 0.2  # for each, at least
-ALONE_TIMES = 3.0  # as long as the slowest change so far
+CHANGES_ALONE = 5  # changes whose processor time is counted, with nothing else under way
+MIN_WAIT_S = 0.2  # for each, at least
+WAIT_FACTOR = 3.0  # as long as the slowest change so far
 MAX_SIMULATED_CHANGES = 100  # the first ones
 
 LATENCIES = ("p50_ms", "p99_ms", "most_ms")
@@ -52,14 +52,14 @@
     late_ms: float
 
     @property
-    def among(self) -> int:
+    def changes_with_requests(self) -> int:
         """Changes while requests go on."""
         return max(LEAST_CHANGES, int(self.seconds / self.every_s))
 
     @property
     def lasts_s(self) -> float:
         """Seconds of requests, once with changes and once without."""
-        return max(self.seconds, self.among * self.every_s) + WARM_S
+        return max(self.seconds, self.changes_with_requests * self.every_s) + WARM_S
 
 
 def make_scale_plan(plan: Plan) -> records.Plan:
@@ -88,7 +88,8 @@
         self.plan, self.report_progress = plan, report_progress
         self.rig = Rig(make_scale_plan(plan), children, out, report_progress)
         self.driver = ChangeDriver(
-            changes(plan.seed, plan.tenants, plan.among + ALONE + plan.changes), self.rig.problems
+            changes(plan.seed, plan.tenants, plan.changes_with_requests + CHANGES_ALONE + plan.changes),
+            self.rig.problems,
         )
 
     async def open(self) -> None:
@@ -109,7 +110,7 @@
         )
         begins = time.monotonic() + WARM_S
         await self.poller.ask(StartPolling(gateways=[gateway.address for gateway in rig.reals]))
-        for n in range(plan.among if every_s else 0):
+        for n in range(plan.changes_with_requests if every_s else 0):
             await asyncio.sleep(max(0.0, begins + (n + 0.25) * plan.every_s - time.monotonic()))
             await self.driver.make_change(hists)
         targets = await finish()
@@ -123,8 +124,8 @@
     async def alone(self) -> dict[str, Any]:
         """Processor time of a change with no request under way, and no look until it is over."""
         reals, spent, idle = self.rig.reals, list[float](), list[float]()
-        for _ in range(ALONE):
-            wait_s = max(ALONE_S, ALONE_TIMES * self.driver.slowest_s)
+        for _ in range(CHANGES_ALONE):
+            wait_s = max(MIN_WAIT_S, WAIT_FACTOR * self.driver.slowest_s)
             change = await self.driver.write()
             for signals, into in ((False, idle), (True, spent)):
                 before = [gateway.child.cpu_s() for gateway in reals]
@@ -141,7 +142,7 @@
         each_s = (sum(spent) - sum(idle)) / len(spent)
         share = DAILY * TIMES * GATEWAYS * each_s / DAY_S
         return {
-            "changes": ALONE,
+            "changes": CHANGES_ALONE,
             "cpu_s_each": each_s,
             "cpu_s_most": max(spent),
             "idle_cpu_s_each": sum(idle) / len(idle),
@@ -223,33 +224,33 @@
     logs = out / "logs"
     logs.mkdir(parents=True, exist_ok=True)
     async with Children(plan.memory_mb, logs) as children:
-        it = Reload(plan, children, out, report_progress)
+        run = Reload(plan, children, out, report_progress)
         try:
-            await it.open()
+            await run.open()
             report_progress(f"requests without changes: {plan.lasts_s:g} s")
-            quiet = figures["quiet"] = await it.with_clients(None)
-            report_progress(f"requests and {plan.among} changes: {plan.lasts_s:g} s")
-            changed = figures["changes"] = await it.with_clients(plan.every_s)
-            changed["count"], changed["every_s"] = plan.among, plan.every_s
+            quiet = figures["quiet"] = await run.with_clients(None)
+            report_progress(f"requests and {plan.changes_with_requests} changes: {plan.lasts_s:g} s")
+            changed = figures["changes"] = await run.with_clients(plan.every_s)
+            changed["count"], changed["every_s"] = plan.changes_with_requests, plan.every_s
             changed["a_day"] = DAY_S / plan.every_s
             changed["times_daily"] = DAY_S / plan.every_s / DAILY
             figures |= compare(quiet, changed)
-            report_progress(f"{ALONE} changes alone")
-            figures["alone"] = await it.alone()
+            report_progress(f"{CHANGES_ALONE} changes alone")
+            figures["alone"] = await run.alone()
             report_progress(f"{plan.changes} changes one after the other")
-            figures["many"] = await it.many()
+            figures["many"] = await run.many()
             report_progress(f"{plan.simulated} hollow gateways")
-            figures["hollow"] = await it.simulated()
+            figures["hollow"] = await run.simulated()
         except MemoryBoundError as error:
-            it.rig.problems.over_bound.append(str(error))
-        kept = check_schedule(it.rig.problems, plan.late_ms)
+            run.rig.problems.over_bound.append(str(error))
+        schedule = check_schedule(run.rig.problems, plan.late_ms)
         return {
             "plan": msgspec.to_builtins(plan),
             "machine": machine(),
             "took_s": time.monotonic() - began,
-            "schedule": kept,
-            "over_bound": it.rig.problems.over_bound,
-            "broken": list(dict.fromkeys(it.rig.problems.broken)),
+            "schedule": schedule,
+            "over_bound": run.rig.problems.over_bound,
+            "broken": list(dict.fromkeys(run.rig.problems.broken)),
             "memory_most_mb": children.most_bytes / 1e6,
-            "figures" if kept["kept"] else "void": figures,
+            "figures" if schedule["kept"] else "void": figures,
         }
--- a/lab/rig.py
+++ b/lab/rig.py
@@ -131,16 +131,18 @@
         self.reals = list(await asyncio.gather(*starting))
         await self.await_watches("real", plan.real)
 
-    async def await_watches(self, side: str, count: int) -> None:
+    async def await_watches(self, gateway_kind: str, count: int) -> None:
         """Wait until so many gateways of a kind watch."""
         try:
             async with asyncio.timeout(WATCH_S):
-                while (await self.registry.ask(ReadRegistryStats())).sides[side].watches < count:
+                while (await self.registry.ask(ReadRegistryStats())).counters[gateway_kind].watches < count:
                     for child in self.children.running:
                         child.check()
                     await asyncio.sleep(4 * POLL_S)
         except TimeoutError:
-            self.problems.schedule.append(f"of {count} {side} gateways not all watch after {WATCH_S:g} s")
+            self.problems.schedule.append(
+                f"of {count} {gateway_kind} gateways not all watch after {WATCH_S:g} s"
+            )
 
     async def play_clients(
         self,
@@ -176,11 +178,11 @@
     async def _finish_clients(self) -> dict[str, TargetResult]:
         result: ClientResult = await self.clients.ask(AwaitRequests())
         self.problems.note_late("clients", result.late)
-        for name, target in result.sides.items():
+        for name, target in result.targets.items():
             for what in WRONG_ANSWERS:
                 if target.counts.get(what):
                     self.problems.broken.append(f"{target.counts[what]} requests ({name}) ended as {what}")
-        return result.sides
+        return result.targets
 
     async def read(self) -> Reading:
         """The counters of now; how late the stand-ins are is noted with them."""
@@ -195,7 +197,7 @@
             for stats in simulated:
                 self.problems.note_late("hollow", stats.late)
         cpu_s = {child.name: child.cpu_s() for child in self.children.running}
-        return Reading(time.monotonic(), registry.sides, statements.sides, list(simulated), cpu_s)
+        return Reading(time.monotonic(), registry.counters, statements.counters, list(simulated), cpu_s)
 
 
 async def is_ready(host: str, port: int) -> bool:
--- a/lab/simulated_gateways.py
+++ b/lab/simulated_gateways.py
@@ -188,7 +188,7 @@
             gateway = SimulatedGateway(self, replace(self.config, settings=settings), seed + number)
             self.gateways.append(gateway)
             gateway.discovery.start(self.config.known)
-            await asyncio.sleep(0)  # what the earlier ones are told is read in between
+            await asyncio.sleep(0)  # what the earlier ones receive is read in between
 
     async def send_requests(self, rate: float, routes: int, tenants: int, seed: int) -> None:
         """Send requests at `rate` a second to each gateway, until cancelled."""
--- a/lab/statements.py
+++ b/lab/statements.py
@@ -31,7 +31,7 @@
 
 REQUEST_ID = re.compile(rb"[0-9a-f]{16}")
 SERVICE_S = 0.005
-SIDES = ("gateway", "direct")
+TARGETS = ("gateway", "direct")
 IDLE_FOR_S = 0.05  # a connection that a probe may count on rests for so long
 SWEEP_S = 1.0
 DRAWS = 4096
@@ -40,29 +40,29 @@
 class Connection(asyncio.Protocol):
     """One connection to a statement server."""
 
-    def __init__(self, servers: StatementServers, side: str) -> None:
-        self.servers, self.side = servers, side
+    def __init__(self, servers: StatementServers, target: str) -> None:
+        self.servers, self.target = servers, target
         self.parser = httptools.HttpRequestParser(self)
         self.transport: asyncio.Transport | None = None
         self.server = 0
         self.busy = False
         self.quiet_ns = time.monotonic_ns()  # since the last answer
         self.closed_ns = 0
-        self.target = b""
+        self.url = b""
         self.headers: dict[bytes, bytes] = {}
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """See asyncio.Protocol."""
         self.transport = cast(asyncio.Transport, transport)
         self.server = fleet.number_of(self.transport.get_extra_info("sockname")[0])
-        self.servers.connections[self.side].add(self)
-        self.servers.stats[self.side]["connections"] += 1
+        self.servers.connections[self.target].add(self)
+        self.servers.stats[self.target]["connections"] += 1
 
     def connection_lost(self, _exc: Exception | None) -> None:
         """See asyncio.Protocol."""
         self.closed_ns = time.monotonic_ns()
         self.transport = None
-        self.servers.connections[self.side].discard(self)
+        self.servers.connections[self.target].discard(self)
 
     def eof_received(self) -> bool:
         """See asyncio.Protocol."""
@@ -70,7 +70,7 @@
 
     def data_received(self, data: bytes) -> None:
         """See asyncio.Protocol."""
-        self.servers.stats[self.side]["bytes"] += len(data)
+        self.servers.stats[self.target]["bytes"] += len(data)
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
@@ -78,11 +78,11 @@
 
     def on_message_begin(self) -> None:
         """See httptools."""
-        self.target, self.headers = b"", {}
+        self.url, self.headers = b"", {}
 
     def on_url(self, url: bytes) -> None:
         """See httptools."""
-        self.target += url
+        self.url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """See httptools."""
@@ -90,7 +90,7 @@
 
     def on_message_complete(self) -> None:
         """See httptools."""
-        stats = self.servers.stats[self.side]
+        stats = self.servers.stats[self.target]
         number = self.headers.get(b"request-id", b"")
         if self.busy:  # one request at a time
             stats["bad"] += 1
@@ -110,7 +110,7 @@
         """Answer a request once its service time is over."""
         self.servers.late.add((time.monotonic() - due) * 1e6)
         self.busy = False
-        self.answer(200, b"%b %b\n" % (number, self.target.partition(b"?")[0]))
+        self.answer(200, b"%b %b\n" % (number, self.url.partition(b"?")[0]))
 
     def answer(self, status: int, body: bytes) -> None:
         """Send an answer, with a load report where it is a success."""
@@ -120,7 +120,7 @@
             b"Server-Load: latency_ms=%.1f,eps=0,queue=0\r\n" % (SERVICE_S * 1e3) if status == 200 else b""
         )
         data = b"HTTP/1.1 %d Any\r\n%bContent-Length: %d\r\n\r\n%b" % (status, report, len(body), body)
-        self.servers.stats[self.side]["bytes"] += len(data)
+        self.servers.stats[self.target]["bytes"] += len(data)
         self.quiet_ns = time.monotonic_ns()
         self.transport.write(data)
 
@@ -135,8 +135,10 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
-        self.connections: dict[str, set[Connection]] = {side: set() for side in SIDES}
-        self.stats = {side: dict.fromkeys(("requests", "connections", "bytes", "bad"), 0) for side in SIDES}
+        self.connections: dict[str, set[Connection]] = {target: set() for target in TARGETS}
+        self.stats = {
+            target: dict.fromkeys(("requests", "connections", "bytes", "bad"), 0) for target in TARGETS
+        }
         self.late = Hist()
         self.watched: dict[int, list[Connection]] = {}  # by server: idle there when a probe began
         self.draws: list[float] = [SERVICE_S]
@@ -151,21 +153,21 @@
         rng = schedule.stream(seed, "service")
         self.draws = (SERVICE_S * (0.5 + rng.gamma(4.0, 0.125, DRAWS))).tolist()
         ports = {}
-        for side in SIDES:
+        for target in TARGETS:
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_BINDTODEVICE, b"lo")
             sock.bind(("", 0))
-            made = partial(Connection, self, side)
+            made = partial(Connection, self, target)
             self.listeners.append(await self.loop.create_server(made, sock=sock, backlog=1024))
-            ports[side] = sock.getsockname()[1]
+            ports[target] = sock.getsockname()[1]
         self.loop.call_later(SWEEP_S, self.sweep)
         return ports
 
     def sweep(self) -> None:
         """Close connections that have been idle for too long, now and again."""
         oldest_ns = time.monotonic_ns() - fleet.KEEPALIVE_US * 1000
-        for side in SIDES:
-            for connection in [c for c in self.connections[side] if not c.busy and c.quiet_ns < oldest_ns]:
+        for target in TARGETS:
+            for connection in [c for c in self.connections[target] if not c.busy and c.quiet_ns < oldest_ns]:
                 connection.abort()
         self.loop.call_later(SWEEP_S, self.sweep)
 
@@ -201,8 +203,8 @@
             case ReadCloses():
                 return self.closes(command.endpoint, command.since_ns)
             case ReadStatementStats():
-                sides = {target: StatementCounters(**stats) for target, stats in self.stats.items()}
-                return StatementStats(self.late.text(), sides)
+                counters = {target: StatementCounters(**stats) for target, stats in self.stats.items()}
+                return StatementStats(self.late.text(), counters)
             case _:
                 assert_never(command)
 
