--- a/load_balancer/decisions/admission.py
+++ b/load_balancer/decisions/admission.py
@@ -43,7 +43,10 @@
     )
 
     def __init__(self, random: Random, context: Context, demand: Demand, limit: ConcurrencyLimit) -> None:
-        self._random, self._context, self._demand, self._limit = random, context, demand, limit
+        self._random = random
+        self._context = context
+        self._demand = demand
+        self._limit = limit
         self.load_shed_share = 0.0
         self.order = PriorityOrder(-1, [])
         self.mean_priority_weight = 1.0
--- a/load_balancer/decisions/circuit_breaker.py
+++ b/load_balancer/decisions/circuit_breaker.py
@@ -78,7 +78,8 @@
     )
 
     def __init__(self, owner: EndpointBreakers | None = None, key: int = ALL_REQUESTS) -> None:
-        self.owner, self.key = owner, key
+        self.owner = owner
+        self.key = key
         self.registry = owner.registry if owner is not None else BreakerRegistry()
         self.ring = b""
         self.failures = 0
--- a/load_balancer/decisions/client_timeouts.py
+++ b/load_balancer/decisions/client_timeouts.py
@@ -24,6 +24,7 @@
         votes += 1 if same else -1
         if votes < 0:
             usual_us, votes, same = timeout_us, 1, True
-        request_class.usual_timeout_us, request_class.timeout_votes = usual_us, votes
+        request_class.usual_timeout_us = usual_us
+        request_class.timeout_votes = votes
         same = same or clients_mark_retries
     return 0 if same else max(0, request_class.terms.client_timeout_us - timeout_us)
--- a/load_balancer/decisions/dispatcher.py
+++ b/load_balancer/decisions/dispatcher.py
@@ -34,7 +34,10 @@
         picker: Picker,
     ) -> None:
         """`actions`: where the actions that start and cancel attempts are appended."""
-        self._actions, self._context, self._endpoints, self._limit = actions, context, endpoints, limit
+        self._actions = actions
+        self._context = context
+        self._endpoints = endpoints
+        self._limit = limit
         self.subset = Subset()
         self.picker = picker
 
--- a/load_balancer/decisions/endpoint_list.py
+++ b/load_balancer/decisions/endpoint_list.py
@@ -27,7 +27,8 @@
     __slots__ = ("_full_weights", "_random", "_registry", "_weight_total", "by_id", "by_rank")
 
     def __init__(self, random: Random, registry: BreakerRegistry) -> None:
-        self._random, self._registry = random, registry
+        self._random = random
+        self._registry = registry
         self._weight_total = WeightTotal()
         self._full_weights: dict[int, float] = {}  # by hardware kind, the largest weight listed so far
         self.by_id: dict[int, EndpointState] = {}
--- a/load_balancer/decisions/latency.py
+++ b/load_balancer/decisions/latency.py
@@ -44,7 +44,8 @@
     )
 
     def __init__(self, class_id: int, terms: RequestClass) -> None:
-        self.class_id, self.terms = class_id, terms
+        self.class_id = class_id
+        self.terms = terms
         self.owner: RequestClasses | None = None
         self._smoothed_us = terms.latency_objective_us / 4
         self.unloaded_us = terms.latency_objective_us / 4
--- a/load_balancer/decisions/list_polling.py
+++ b/load_balancer/decisions/list_polling.py
@@ -27,7 +27,10 @@
 
     def __init__(self, actions: list[Action], timers: Timers, random: Random, context: Context) -> None:
         """`actions`: where subscriptions are appended."""
-        self._actions, self._timers, self._random, self._context = actions, timers, random, context
+        self._actions = actions
+        self._timers = timers
+        self._random = random
+        self._context = context
         self.failures = 0
 
     def note_list(self, kind: ListKind) -> None:
--- a/load_balancer/decisions/load_reports.py
+++ b/load_balancer/decisions/load_reports.py
@@ -37,9 +37,11 @@
         """Take in an endpoint's report; unknown names and impossible values are left out."""
         for name, value in report:
             if name == "queue" and value >= 0.0:
-                endpoint.queue_length, endpoint.reported_us = value, now_us
+                endpoint.queue_length = value
+                endpoint.reported_us = now_us
             elif name == "eps" and value >= 0.0:
-                endpoint.errors_per_s, endpoint.reported_us = value, now_us
+                endpoint.errors_per_s = value
+                endpoint.reported_us = now_us
             elif name == "latency_ms" and value > 0.0:
                 share = REPORT_SMOOTHING_FACTOR if endpoint.service_ms else 1.0
                 endpoint.service_ms += share * (value - endpoint.service_ms)
--- a/load_balancer/decisions/outliers.py
+++ b/load_balancer/decisions/outliers.py
@@ -66,7 +66,10 @@
     def __init__(
         self, registry: BreakerRegistry, limit: ConcurrencyLimit, demand: Demand, log: RateLimitedLog
     ) -> None:
-        self._registry, self._limit, self._demand, self._log = registry, limit, demand, log
+        self._registry = registry
+        self._limit = limit
+        self._demand = demand
+        self._log = log
 
     def record(self, request: Request, attempt: Attempt, event: AttemptEnded, now_us: int) -> None:
         """Enter the outcome of an attempt."""
--- a/load_balancer/decisions/picker.py
+++ b/load_balancer/decisions/picker.py
@@ -43,7 +43,10 @@
     def __init__(
         self, random: Random, context: Context, arrivals: ArrivalInterval, reports: LoadReports
     ) -> None:
-        self._random, self._context, self._arrivals, self._reports = random, context, arrivals, reports
+        self._random = random
+        self._context = context
+        self._arrivals = arrivals
+        self._reports = reports
 
     def pick(
         self,
--- a/load_balancer/decisions/rate_limited_log.py
+++ b/load_balancer/decisions/rate_limited_log.py
@@ -29,5 +29,6 @@
             return
         if self.suppressed:
             fields["suppressed"] = self.suppressed
-        self._last_us, self.suppressed = now_us, 0
+        self._last_us = now_us
+        self.suppressed = 0
         self._actions.append(LogEvent(event, tuple(fields.items())))
--- a/load_balancer/decisions/request_intake.py
+++ b/load_balancer/decisions/request_intake.py
@@ -24,7 +24,9 @@
     __slots__ = ("_demand", "_quotas", "_retry_budget")
 
     def __init__(self, quotas: Quotas, demand: Demand, retry_budget: RetryBudget) -> None:
-        self._quotas, self._demand, self._retry_budget = quotas, demand, retry_budget
+        self._quotas = quotas
+        self._demand = demand
+        self._retry_budget = retry_budget
 
     def accept(
         self, event: RequestArrived, now_us: int, request_class: ClassState, version: SettingsVersion
--- a/load_balancer/decisions/request_lifecycle.py
+++ b/load_balancer/decisions/request_lifecycle.py
@@ -50,9 +50,13 @@
         retry_budget: RetryBudget,
     ) -> None:
         """`actions`: where final answers are appended."""
-        self._actions, self._timers, self._context = actions, timers, context
-        self._endpoints, self._admission = endpoints, admission
-        self._dispatcher, self._retry_budget = dispatcher, retry_budget
+        self._actions = actions
+        self._timers = timers
+        self._context = context
+        self._endpoints = endpoints
+        self._admission = admission
+        self._dispatcher = dispatcher
+        self._retry_budget = retry_budget
         self.requests: dict[str, Request] = {}
         self.ordered_keys = OrderedKeys()
 
