--- a/load_balancer/config/settings_reader.py
+++ b/load_balancer/config/settings_reader.py
@@ -35,9 +35,12 @@
 
 @dataclass(frozen=True, slots=True)
 class _ItemFormat(Generic[_Item]):
-    """How the items of a list are read: the model of their JSON, and what makes an item of it.
+    """How the items of a list are read.
 
-    `convert` takes the previous item of the same name too, and returns that very object if it is equal.
+    Attributes:
+        model: The model of an item's JSON.
+        convert: Makes an item from its model and the previous item of the same name, if any; returns that
+            previous object if the two are equal.
     """
 
     model: type[Any]
@@ -53,7 +56,7 @@
 
     def __init__(self, items: tuple[_Item, ...]) -> None:
         self.items = items
-        self._by_name: dict[str, _Item] | None = None  # made at the first item that has moved
+        self._by_name: dict[str, _Item] | None = None  # built when the first item has changed its index
 
     def find(self, index: int, name: str) -> _Item | None:
         """Return the item with a name, looking at the index first; None if there was none."""
@@ -89,14 +92,7 @@
         SettingsFormatError: The settings cannot be used.
     """
     errors = errors or ValidationErrors()
-    model: SettingsModel | None = decode_value(raw, SettingsModel, path, errors)
-    yield
-    if model is not None:
-        _check_fields(model, path, errors)
-    else:  # the lists are read all the same, to find what else is wrong
-        model = _decode_lists(raw)
-        if model.classes:
-            _check_fields(model, path, errors)
+    model = yield from _read_model(raw, path, errors)
     classes = yield from read_list(
         model.classes,
         _REQUEST_CLASS,
@@ -116,11 +112,23 @@
     errors.raise_if_any()
     try:
         return to_settings(model, classes, tenants), model
-    except SettingsError as error:  # a rule of Settings that the model does not have
+    except SettingsError as error:  # `Settings` checks more than the model does
         message = printable_line(f"{path or 'settings'}: cannot be used: {error}")
         raise SettingsFormatError([message]) from None
 
 
+def _read_model(raw: Any, path: str, errors: ValidationErrors) -> Steps[SettingsModel]:
+    """Decode and check everything but the items of the long lists."""
+    model: SettingsModel | None = decode_value(raw, SettingsModel, path, errors)
+    yield
+    if model is None:  # the lists are read all the same, to report their errors too
+        model = _decode_lists(raw)
+        if not model.classes:
+            return model
+    _check_fields(model, path, errors)
+    return model
+
+
 def _decode_lists(raw: Any) -> SettingsModel:
     """Return a model with the lists that can be decoded and the default for everything else."""
     ignored = ValidationErrors(_UNLIMITED)
--- a/load_balancer/gateway/upstream_connection.py
+++ b/load_balancer/gateway/upstream_connection.py
@@ -8,6 +8,7 @@
 import httptools
 
 from load_balancer.config.file import Address
+from load_balancer.errors import LoadBalancerError
 from load_balancer.gateway.http_message import BODY_LIMIT, HEAD_LIMIT, HttpResponseError, Response
 from load_balancer.gateway.socket_state import has_input
 from load_balancer.gateway.upstream_attempt import UpstreamAttempt
@@ -16,6 +17,10 @@
 RESPONSE_LIMIT = 4 * (HEAD_LIMIT + BODY_LIMIT)
 
 
+class ConnectionNotOpenError(LoadBalancerError):
+    """An attempt was written to a connection that is still being opened."""
+
+
 class ConnectionOwner(Protocol):
     """The pool that a connection belongs to."""
 
@@ -111,9 +116,14 @@
             self.write(attempt)
 
     def write(self, attempt: UpstreamAttempt) -> None:
-        """Send an attempt on a connection that is up and carries no other."""
+        """Send an attempt on an open connection that carries no other.
+
+        Raises:
+            ConnectionNotOpenError: The connection is not open yet.
+        """
         transport = self.transport
-        assert transport is not None
+        if transport is None:
+            raise ConnectionNotOpenError("an attempt was written before its connection was open")
         self.attempt = attempt
         self._received_bytes = 0
         attempt.connection = self
@@ -134,7 +144,8 @@
 
     def data_received(self, data: bytes) -> None:
         """Parse a part of a response."""
-        if self.attempt is None:  # no request was sent
+        attempt = self.attempt
+        if attempt is None:  # no request was sent
             self.abort()
             return
         self._received_bytes += len(data)
@@ -144,7 +155,7 @@
             self.fail()
             return
         if self._complete:
-            self._end_attempt()
+            self._end_attempt(attempt)
         elif self._received_bytes > RESPONSE_LIMIT:
             self.fail()
 
@@ -155,13 +166,13 @@
         if self.attempt is not None:
             self.attempt.connection_lost()
 
-    def _end_attempt(self) -> None:
+    def _end_attempt(self, attempt: UpstreamAttempt) -> None:
         """Pass the response on, now that the parser has read all there was."""
-        attempt, response = self.attempt, self._response
-        assert attempt is not None
+        response = self._response
         response.status = self._parser.get_status_code()
         response.body = b"".join(self._chunks)
-        self.attempt, self._complete = None, False
+        self.attempt = None
+        self._complete = False
         if attempt.written and self._keep_alive:
             self.owner.release(self)
         else:
@@ -174,7 +185,9 @@
         """Begin a response."""
         if self._complete:
             raise HttpResponseError("a second response to one request")
-        self._response, self._chunks, self._size = Response(), [], 0
+        self._response = Response()
+        self._chunks = []
+        self._size = 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Add a header."""
