--- a/lab/changes.py
+++ b/lab/changes.py
@@ -96,8 +96,8 @@
     )
     document.write(file)
     config = run_to_completion(read_steps(environ))
-    listed = parse_list(config.known, config.names).to_balancer_event().endpoints
-    config.known.clear()
+    listed = parse_list(config.cached_endpoint_list, config.names).to_balancer_event().endpoints
+    config.cached_endpoint_list.clear()
     gc.collect()
     base = process.memory_info().rss
     for n in range(count):
--- a/lab/simulated_gateways.py
+++ b/lab/simulated_gateways.py
@@ -188,7 +188,7 @@
             settings = replace(self.config.settings, gateway_index=number, zone=number % len(fleet.ZONES))
             gateway = SimulatedGateway(self, replace(self.config, settings=settings), seed + number)
             self.gateways.append(gateway)
-            gateway.discovery.start(self.config.known)
+            gateway.discovery.start(self.config.cached_endpoint_list)
             await asyncio.sleep(0)  # what the earlier ones receive is read in between
 
     async def send_requests(self, rate: float, routes: int, tenants: int, seed: int) -> None:
--- a/load_balancer/config/config_reader.py
+++ b/load_balancer/config/config_reader.py
@@ -23,6 +23,7 @@
 
 HASH_BYTES_PER_STEP = 1024 * 1024
 DIGEST_BYTES = 16
+UNREADABLE_ADDRESS: Address = ("", 0)  # never in a Config: the error that comes with it is raised first
 
 
 def read_config(
@@ -38,38 +39,36 @@
     if model is None:
         yield from _add_settings_errors(data, errors)
         raise SettingsFormatError(errors.messages)
-    del data  # the model holds what it needs of it
+    del data  # the model keeps its own references to the parts that are still to be read
     identity = _read_identity(model, environ, previous, errors)
     seed = _read_seed(model.seed, errors)
     peers = _read_peers(model, errors)
     yield
-    known = yield from _read_endpoint_list(model.known, previous is not None, errors)
-    content = yield from _digest(model.settings)
-    if previous is not None and content == previous.content:
+    cached_endpoint_list = yield from _read_endpoint_list(model.known, previous is not None, errors)
+    settings_digest = yield from _digest(model.settings)
+    if previous is not None and settings_digest == previous.settings_digest:
         settings, names = previous.settings, previous.names
     else:
         settings, names = yield from _read_named_settings(model.settings, previous, errors)
     errors.raise_if_any()
-    assert identity.listen is not None
-    assert identity.discovery is not None
     return Config(
         name=identity.name,
         listen=identity.listen,
         discovery=identity.discovery,
         seed=seed,
-        sockets=model.limits.sockets,
+        max_sockets=model.limits.sockets,
         settings=settings,
         names=names,
-        known=known,
+        cached_endpoint_list=cached_endpoint_list,
         peer_listen=peers.listen,
         peers=peers.addresses,
         peers_all=peers.all_peers,
-        content=content,
+        settings_digest=settings_digest,
     )
 
 
 def _add_settings_errors(data: bytes, errors: ValidationErrors) -> Steps[None]:
-    """Add what is wrong with the settings in a file that does not fit its own model."""
+    """Add the errors of the settings in a file that does not fit `FileModel`."""
     parts: dict[str, Raw] = decode_value(data, dict[str, Raw], "", errors) or {}
     if "settings" in parts:
         yield from read_settings(parts["settings"], "settings", None, errors, names_required=True)
@@ -77,11 +76,11 @@
 
 @dataclass(frozen=True, slots=True)
 class _Identity:
-    """Who and where the gateway is; an address is None after an error."""
+    """The name and the addresses of the gateway."""
 
     name: str
-    listen: Address | None
-    discovery: Address | None
+    listen: Address
+    discovery: Address
 
 
 def _read_identity(
@@ -116,15 +115,16 @@
     addresses = [_read_address(peer, f"peers[{index}]", errors) for index, peer in enumerate(model.peers)]
     listen = _read_address(model.peer_listen, "peer_listen", errors) if model.peer_listen else None
     all_peers = _read_address(model.peers_all, "peers_all", errors) if model.peers_all else None
-    return _Peers(tuple(each for each in addresses if each is not None), listen, all_peers)
+    return _Peers(tuple(addresses), listen, all_peers)
 
 
-def _read_address(text: object, path: str, errors: ValidationErrors) -> Address | None:
+def _read_address(text: object, path: str, errors: ValidationErrors) -> Address:
+    """Return the address at a path, or `UNREADABLE_ADDRESS` once an error has been added to `errors`."""
     try:
         return parse_address(text)
     except ConfigError as error:
         errors.add(path, str(error))
-        return None
+        return UNREADABLE_ADDRESS
 
 
 def _read_seed(seed: str | int | float, errors: ValidationErrors) -> int:
@@ -136,7 +136,7 @@
 
 
 def _read_endpoint_list(raw: Raw, only_check: bool, errors: ValidationErrors) -> Steps[dict[str, Any]]:
-    """Return the cached endpoint list as plain objects; empty if it is only to be checked that it is one."""
+    """Return the cached endpoint list as plain objects; with `only_check`, validate it and return {}."""
     model: EndpointListModel | None = decode_value(raw, EndpointListModel, "known", errors)
     yield
     if model is None or only_check:
@@ -176,19 +176,19 @@
 
 
 def _read_names(settings: Settings, model: SettingsModel, previous: NameTable | None) -> Steps[NameTable]:
-    old = previous or NameTable((), (), (), ())
-    classes = _reuse_if_equal(tuple(each.name for each in settings.classes), old.classes)
+    previous = previous or NameTable((), (), (), ())
+    classes = _reuse_if_equal(tuple(each.name for each in settings.classes), previous.classes)
     yield
-    tenants = _reuse_if_equal(tuple(each.name for each in settings.tenants), old.tenants)
+    tenants = _reuse_if_equal(tuple(each.name for each in settings.tenants), previous.tenants)
     yield
-    zones = _reuse_if_equal(tuple(model.zones), old.zones)
-    kinds = _reuse_if_equal(tuple(model.endpoint_kinds), old.kinds)
-    return NameTable(classes, tenants, zones, kinds)
+    zones = _reuse_if_equal(tuple(model.zones), previous.zones)
+    endpoint_kinds = _reuse_if_equal(tuple(model.endpoint_kinds), previous.endpoint_kinds)
+    return NameTable(classes, tenants, zones, endpoint_kinds)
 
 
 def _reuse_if_equal(names: tuple[str, ...], previous: tuple[str, ...]) -> tuple[str, ...]:
     """Return `previous` if it holds the same names, else `names`."""
     if len(names) != len(previous):
         return names
-    same_objects = all(map(is_, names, previous))  # cheaper than comparing, and true of most reloads
+    same_objects = all(map(is_, names, previous))  # cheaper than comparing text, and usual on a reload
     return previous if same_objects or names == previous else names
--- a/load_balancer/config/effective_config.py
+++ b/load_balancer/config/effective_config.py
@@ -61,7 +61,7 @@
         "listen": format_address(config.listen),
         "discovery": format_address(config.discovery),
         "seed": f"{config.seed:x}",
-        "limits": {"sockets": config.sockets},
+        "limits": {"sockets": config.max_sockets},
         "peer_listen": format_address(config.peer_listen) if config.peer_listen else None,
         "peers": [format_address(peer) for peer in config.peers],
         "peers_all": format_address(config.peers_all) if config.peers_all else None,
--- a/load_balancer/config/gateway_config.py
+++ b/load_balancer/config/gateway_config.py
@@ -11,42 +11,42 @@
 
 @dataclass(frozen=True, slots=True)
 class NameTable:
-    """The operator's names, by the index that the decisions know each by."""
+    """The operator's names, each at the index by which the balancer refers to it."""
 
     classes: tuple[str, ...]
     tenants: tuple[str, ...]
     zones: tuple[str, ...]
-    kinds: tuple[str, ...]
+    endpoint_kinds: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """Everything that a gateway is given at its start.
+    """Everything that a gateway needs to start.
 
     Attributes:
         name: This gateway's name.
         listen: Where clients connect.
         discovery: Address of service discovery.
-        seed: Of the random numbers.
-        sockets: File descriptors that the process may hold.
-        settings: What the decisions are made from.
-        names: Names of the settings' parts.
-        known: A cached endpoint list in the form of service discovery.
-        peer_listen: Where other gateways connect; None for nowhere.
+        seed: Seed of the random number generator.
+        max_sockets: File descriptors that the process may hold.
+        settings: The settings that the balancer decides by.
+        names: The operator's names for classes, tenants, zones and endpoint kinds.
+        cached_endpoint_list: The endpoint list to start with, in service discovery's JSON form.
+        peer_listen: Where messages of other gateways are received; None to receive none.
         peers: Addresses of the other gateways.
         peers_all: An address that reaches all gateways; None if there is none.
-        content: Hex digest of the settings object, byte for byte as it stands in the file.
+        settings_digest: Hex digest of the settings object's bytes in the file.
     """
 
     name: str
     listen: Address
     discovery: Address
     seed: int
-    sockets: int
+    max_sockets: int
     settings: Settings
     names: NameTable
-    known: dict[str, Any]
+    cached_endpoint_list: dict[str, Any]
     peer_listen: Address | None = None
     peers: tuple[Address, ...] = ()
     peers_all: Address | None = None
-    content: str = ""
+    settings_digest: str = ""
--- a/load_balancer/gateway/client_server.py
+++ b/load_balancer/gateway/client_server.py
@@ -46,9 +46,10 @@
     """
 
     def __init__(self, config: Config, proxy: Proxy, loop: asyncio.AbstractEventLoop) -> None:
-        self.proxy, self.loop = proxy, loop
+        self.proxy = proxy
+        self.loop = loop
         self.lookup = run_to_completion(lookup_steps(config))
-        self.limit = client_connection_limit(config.sockets)
+        self.limit = client_connection_limit(config.max_sockets)
         self.connections: set[ClientConnection] = set()
         self.draining = False
         self.listener: asyncio.Server | None = None
--- a/load_balancer/gateway/discovery_messages.py
+++ b/load_balancer/gateway/discovery_messages.py
@@ -96,7 +96,7 @@
         weight=weight,
         zone=names.zones.index(raw["zone"]) if names.zones else 0,
         group=int(raw.get("group", 0)),
-        kind=names.kinds.index(raw["type"]) if names.kinds else 0,
+        kind=names.endpoint_kinds.index(raw["type"]) if names.endpoint_kinds else 0,
         started_us=started_ms * 1000,
     )
     return DiscoveredEndpoint(name, endpoint, parse_address(raw["address"]))
@@ -186,7 +186,8 @@
         *lines, rest = data.split(b"\n")
         if lines:
             lines[0] = b"".join((*self._partial_line, lines[0]))
-            self._partial_line, self._partial_line_bytes = [], 0
+            self._partial_line = []
+            self._partial_line_bytes = 0
         if rest:
             self._partial_line.append(rest)
             self._partial_line_bytes += len(rest)
@@ -213,7 +214,9 @@
 
     def _take_message(self) -> bytes:
         message = b"\n".join(self._message_lines)
-        self._message_lines, self._message_bytes, self._depth = [], 0, 0
+        self._message_lines = []
+        self._message_bytes = 0
+        self._depth = 0
         return message
 
 
--- a/load_balancer/gateway/proxy.py
+++ b/load_balancer/gateway/proxy.py
@@ -68,7 +68,9 @@
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
         settings = config.settings
-        self.config, self.settings, self.loop = config, settings, loop
+        self.config = config
+        self.settings = settings
+        self.loop = loop
         self.clock = Clock()
         self.balancer = Balancer(settings, config.seed)
         self._dispatcher = EventDispatcher(
@@ -76,7 +78,7 @@
         )
         self.upstream = UpstreamPool(
             loop,
-            limit=upstream_connection_limit(config.sockets),
+            limit=upstream_connection_limit(config.max_sockets),
             connect_timeout_us=settings.connect_timeout_us,
             idle_timeout_us=settings.idle_connection_timeout_us,
         )
@@ -105,8 +107,8 @@
         """
         if self.settings.may_message_peers and self.config.peer_listen is not None:
             await self.peers.open(self.loop, self.config.peer_listen)
-        self.discovery.start(self.config.known)
-        self.config.known.clear()  # parsed by now: the text of thousands of endpoints need not stay in memory
+        self.discovery.start(self.config.cached_endpoint_list)
+        self.config.cached_endpoint_list.clear()  # parsed by now; frees the memory of thousands of entries
         self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
     def sweep(self) -> None:
--- a/load_balancer/gateway/reload.py
+++ b/load_balancer/gateway/reload.py
@@ -40,12 +40,12 @@
 RESTART_ONLY_SETTINGS = (
     RestartOnlySetting("name", lambda config: config.name),
     RestartOnlySetting("listen", lambda config: config.listen),
-    RestartOnlySetting("limits.sockets", lambda config: config.sockets),
+    RestartOnlySetting("limits.sockets", lambda config: config.max_sockets),
     RestartOnlySetting("peer_listen", lambda config: config.peer_listen),
     RestartOnlySetting("settings.index", lambda config: config.settings.gateway_index),
     RestartOnlySetting("settings.zone", lambda config: config.settings.zone),
     RestartOnlySetting("settings.zones", lambda config: config.names.zones),
-    RestartOnlySetting("settings.shapes", lambda config: config.names.kinds),
+    RestartOnlySetting("settings.shapes", lambda config: config.names.endpoint_kinds),
     RestartOnlySetting("settings.membershipMode", lambda config: config.settings.endpoints_are_pushed),
     RestartOnlySetting("settings.stage", lambda config: (config.settings.tier, config.settings.tiers)),
 )
@@ -127,8 +127,8 @@
                 f"{changes[0].path} differs: expected {expected}, which only a new process can change"
             )
         version = self._proxy.settings_version
-        digest = config.content[:LOGGED_DIGEST_CHARACTERS]
-        if config.content == before.content:
+        digest = config.settings_digest[:LOGGED_DIGEST_CHARACTERS]
+        if config.settings_digest == before.settings_digest:
             log_event("config.unchanged", settings_version=version.number, settings_digest=digest)
         else:
             version = await self._apply_settings(config)
--- a/tests/config/test_file.py
+++ b/tests/config/test_file.py
@@ -76,7 +76,7 @@
             load(text, previous)
     else:
         again = load(text, previous)  # reading beside a configuration gives what reading alone does
-        assert replace(config, known={}) == again
+        assert replace(config, cached_endpoint_list={}) == again
 
 
 @pytest.fixture(scope="module")
@@ -94,7 +94,7 @@
     previous = thousand_tenants
     moved = load(json.dumps(with_tenants(1_000) | {"discovery": "127.0.0.9:1"}), previous)
     assert moved.settings is previous.settings
-    assert moved.content == previous.content
+    assert moved.settings_digest == previous.settings_digest
     assert moved.names is previous.names
     assert moved.discovery == ("127.0.0.9", 1)
 
@@ -102,13 +102,13 @@
 def test_one_changed_tenant_leaves_the_others_the_same_objects(thousand_tenants: Config) -> None:
     previous = thousand_tenants
     config = load(json.dumps(with_one_tenant_changed()), previous)
-    assert config.content != previous.content
+    assert config.settings_digest != previous.settings_digest
     assert config.settings != previous.settings
     assert config.settings.classes is previous.settings.classes
     same = [new is old for new, old in zip(config.settings.tenants, previous.settings.tenants, strict=True)]
     assert same.count(False) == 1
     assert not same[3]
-    for field in ("classes", "tenants", "zones", "kinds"):
+    for field in ("classes", "tenants", "zones", "endpoint_kinds"):
         assert getattr(config.names, field) is getattr(previous.names, field)
 
 
--- a/tests/gateway/reload_helpers.py
+++ b/tests/gateway/reload_helpers.py
@@ -68,8 +68,8 @@
         path.write_text(json.dumps(raw))
         environ: Mapping[str, str] = {"ROUTER_CONFIG": str(path)}
         loaded = configs.load_config(environ)
-        loaded.known.clear()
-        reloader = ConfigReloader(loaded, it.proxy, it.downstream, environ)
+        loaded.cached_endpoint_list.clear()
+        reloader = ConfigReloader(loaded, it.proxy, it.client_server, environ)
         try:
             yield ReloadableGateway(it, reloader, path, raw)
         finally:
--- a/tests/gateway/test_client_connection.py
+++ b/tests/gateway/test_client_connection.py
@@ -29,7 +29,7 @@
         client = await it.client()
         client.send(ask() + 9 * ask("buy", body=bytes(BODY_LIMIT // 2)))
         await it.host.taken.get()
-        (connection,) = it.downstream.connections
+        (connection,) = it.client_server.connections
         await until(lambda: connection.reader.is_stopped)
         *ahead, last = connection.waiting
         assert len(ahead) == 3
@@ -95,7 +95,7 @@
             client.send(ask())
         assert not client.writer.transport.is_closing()
         client.writer.transport.abort()
-        await until(lambda: not it.downstream.connections)
+        await until(lambda: not it.client_server.connections)
 
 
 @pytest.mark.parametrize("reads", [True, False])
@@ -123,4 +123,4 @@
             assert len((await client.answer())[2]) == BODY_LIMIT
         else:
             client.writer.transport.abort()
-        await until(lambda: not it.downstream.connections)
+        await until(lambda: not it.client_server.connections)
--- a/tests/gateway/test_client_disconnects.py
+++ b/tests/gateway/test_client_disconnects.py
@@ -169,8 +169,8 @@
     """The client's socket is asked as each attempt comes up."""
     async with gateway(settings=settings(maxAttempts=2)) as it:
         script_decisions(it, ["h0"] * 4, "h0")
-        assert it.downstream.listener is not None
-        client = socket.create_connection(it.downstream.listener.sockets[0].getsockname())
+        assert it.client_server.listener is not None
+        client = socket.create_connection(it.client_server.listener.sockets[0].getsockname())
         await open_idle_connections(it, 0 if attempt == "on a new connection" else 2)
         it.events.clear()
         ATTEMPTS[attempt](it, monkeypatch, partial(end_by, how, client))
@@ -200,10 +200,10 @@
         for client in clients:
             client.send(ask())
             await it.event(RequestArrived)
-        it.downstream.draining = draining
+        it.client_server.draining = draining
         for number, client in enumerate(clients):
             client.writer.transport.abort() if number % 2 else client.writer.close()
-        await until(lambda: not it.downstream.connections)
+        await until(lambda: not it.client_server.connections)
         free.set()
         await until(lambda: not it.proxy.ledger.pending)
         assert it.proxy.ledger.unanswered == 0
--- a/tests/gateway/test_client_server.py
+++ b/tests/gateway/test_client_server.py
@@ -15,7 +15,7 @@
 @runs_in_event_loop
 async def test_ready_once_endpoints_are_known(endpoints: int, status: int) -> None:
     async with gateway(hosts=endpoints) as it:
-        assert not it.proxy.config.known  # it stayed for good, beside the list as it was read
+        assert not it.proxy.config.cached_endpoint_list  # it stayed for good, beside the list as it was read
         client = await it.client()
         assert (await client.ask(b"GET /health/ready HTTP/1.1\r\n\r\n"))[0] == status
 
@@ -23,12 +23,12 @@
 @runs_in_event_loop
 async def test_connections_are_limited_and_idle_ones_make_room() -> None:
     async with gateway(limits={"sockets": 128}) as it:
-        limit = it.downstream.limit
+        limit = it.client_server.limit
         idle = [await it.client() for _ in range(limit)]
-        await until(lambda: len(it.downstream.connections) == limit)
+        await until(lambda: len(it.client_server.connections) == limit)
         new = await it.client()
         assert (await new.ask(ask()))[0] == 503
-        for connection in it.downstream.connections:
+        for connection in it.client_server.connections:
             connection.last_activity -= client_server.EVICTION_IDLE_S
         busy = await it.client()
         await it.served(busy)
@@ -52,18 +52,18 @@
 async def test_idle_clients_do_not_keep_a_new_one_from_asking_for_readiness(long_idle: bool) -> None:
     """Beyond the limit a new connection may still ask for readiness."""
     async with gateway(limits={"sockets": 128}) as it:
-        most = it.downstream.limit + client_server.REJECTED_CONNECTIONS
+        most = it.client_server.limit + client_server.REJECTED_CONNECTIONS
         idle = [await it.client() for _ in range(most)]
-        await until(lambda: len(it.downstream.connections) == most)
-        for connection in it.downstream.connections if long_idle else ():
+        await until(lambda: len(it.client_server.connections) == most)
+        for connection in it.client_server.connections if long_idle else ():
             connection.last_activity -= client_server.EVICTION_IDLE_S
         for _ in range(most):
             asks = await it.client()
             status, _, text = await asks.ask(b"GET /health/ready HTTP/1.1\r\n\r\n")
             assert (status, text) == (200, b"ready\n")
             idle.append(await it.client())
-            assert len(it.downstream.connections) <= most + client_server.CLOSING_CONNECTIONS
-        first = idle[0 if long_idle else it.downstream.limit]
+            assert len(it.client_server.connections) <= most + client_server.CLOSING_CONNECTIONS
+        first = idle[0 if long_idle else it.client_server.limit]
         assert long_idle or (await first.answer())[0] == 503
         assert await first.closed()
 
@@ -73,15 +73,15 @@
     async with gateway() as it:
         client = await it.client()
         await it.served(client)
-        (known,) = it.downstream.connections
+        (known,) = it.client_server.connections
         peer = await it.client()
-        await until(lambda: len(it.downstream.connections) == 2)
-        for connection in it.downstream.connections:
+        await until(lambda: len(it.client_server.connections) == 2)
+        for connection in it.client_server.connections:
             connection.last_activity -= client_server.FIRST_REQUEST_TIMEOUT_S + 0.1
             connection.reader.began_at -= client_server.FIRST_REQUEST_TIMEOUT_S + 0.1
-        it.downstream.sweep()
+        it.client_server.sweep()
         assert await peer.closed()
-        assert it.downstream.connections == {known}
+        assert it.client_server.connections == {known}
         await it.served(client)
 
 
@@ -91,15 +91,15 @@
     async with gateway() as it:
         peer = await it.client()
         peer.send(b"GET /look HTT")
-        await until(lambda: any(not c.is_idle for c in it.downstream.connections))
-        (connection,) = it.downstream.connections
-        it.downstream.sweep()
+        await until(lambda: any(not c.is_idle for c in it.client_server.connections))
+        (connection,) = it.client_server.connections
+        it.client_server.sweep()
         assert not connection.reader.is_stopped
         connection.reader.began_at -= client_server.REQUEST_READ_TIMEOUT_S + 0.1
         last_activity, connection.last_activity = connection.last_activity, 0.0
         peer.send(b"P")
         await until(lambda: connection.last_activity >= last_activity)
-        it.downstream.sweep()
+        it.client_server.sweep()
         assert (await peer.answer())[0] == 408
         assert await peer.closed()
 
@@ -109,12 +109,12 @@
     """Else a client that sends its first byte after 2 s, and no more, would wait for more than 4 s."""
     async with gateway() as it:
         peer = await it.client()
-        await until(lambda: bool(it.downstream.connections))
-        (connection,) = it.downstream.connections
+        await until(lambda: bool(it.client_server.connections))
+        (connection,) = it.client_server.connections
         connection.reader.began_at -= client_server.FIRST_REQUEST_TIMEOUT_S + 0.1
         peer.send(b"GET /look HTT")
         await until(lambda: connection.reader.is_mid_request)
-        it.downstream.sweep()
+        it.client_server.sweep()
         assert connection.reader.is_stopped
         assert (await peer.answer())[0] == 408
         assert await peer.closed()
@@ -126,12 +126,12 @@
     async with gateway() as it:
         client = await it.client()
         await it.served(client)
-        (connection,) = it.downstream.connections
+        (connection,) = it.client_server.connections
         last_activity, connection.last_activity = connection.last_activity, 0.0
         client.send(b"\r\n\r\n")
         await until(lambda: connection.last_activity >= last_activity)
         connection.reader.began_at -= 2 * client_server.REQUEST_READ_TIMEOUT_S
-        it.downstream.sweep()
+        it.client_server.sweep()
         await it.served(client)
 
 
@@ -141,14 +141,14 @@
     async with gateway() as it:
         client = await it.client()
         await it.served(client)
-        (connection,) = it.downstream.connections
+        (connection,) = it.client_server.connections
         connection.last_activity -= 2 * client_server.IDLE_TIMEOUT_S
         send_now(client.writer, ask())
-        it.downstream.sweep()
+        it.client_server.sweep()
         (await it.host.taken.get()).answer()
         assert (await client.answer())[0] == 200
         connection.last_activity -= 2 * client_server.IDLE_TIMEOUT_S
-        it.downstream.sweep()
+        it.client_server.sweep()
         assert await client.closed()
 
 
@@ -163,8 +163,8 @@
         client = await it.client()
         client.send(ask() + ask())
         taken = await it.host.taken.get()
-        it.downstream.draining = True
-        finish = asyncio.create_task(it.downstream.close_connections())
+        it.client_server.draining = True
+        finish = asyncio.create_task(it.client_server.close_connections())
         await asyncio.sleep(0)
         taken.answer()
         assert (await client.answer())[0] == 200
@@ -186,9 +186,9 @@
     async with gateway() as it:
         client = await it.client()
         client.send(ask("buy", body=b"12", Content_Length="3"))
-        await until(lambda: any(c.reader.is_mid_request for c in it.downstream.connections))
-        it.downstream.draining = True
-        finish = asyncio.create_task(it.downstream.close_connections())
+        await until(lambda: any(c.reader.is_mid_request for c in it.client_server.connections))
+        it.client_server.draining = True
+        finish = asyncio.create_task(it.client_server.close_connections())
         status, head, _ = await client.answer()
         assert status == 503
         assert head["connection"] == "close"
--- a/tests/gateway/test_endpoint_list_latency.py
+++ b/tests/gateway/test_endpoint_list_latency.py
@@ -96,7 +96,7 @@
             proxy.on_watch_event(event)
 
         proxy.discovery.on_watch_event = pass_on
-        proxy.discovery.start(proxy.config.known)
+        proxy.discovery.start(proxy.config.cached_endpoint_list)
         return loop.run_until_complete(loop.known) - reach_s
     finally:
         for task in asyncio.all_tasks(loop):
--- a/tests/gateway/test_graceful_shutdown.py
+++ b/tests/gateway/test_graceful_shutdown.py
@@ -25,15 +25,17 @@
     async with gateway() as it:
         idle = await it.client()
         await it.served(idle)
-        it.downstream.draining = True
+        it.client_server.draining = True
         late = await it.client()
         assert (await (await it.client()).ask(b"GET /health/ready HTTP/1.1\r\n\r\n"))[0] == 503
         late.send(ask())
         taken = await it.host.taken.get()
         idle.send(ask()[:20])
-        await until(lambda: any(connection.reader.is_mid_request for connection in it.downstream.connections))
-        it.downstream.stop_listening()
-        finish = asyncio.create_task(it.downstream.close_connections())
+        await until(
+            lambda: any(connection.reader.is_mid_request for connection in it.client_server.connections)
+        )
+        it.client_server.stop_listening()
+        finish = asyncio.create_task(it.client_server.close_connections())
         taken.answer()
         for client in (late, idle):
             await expect_last_answer(client)
@@ -50,9 +52,9 @@
     monkeypatch.setattr(client_server, "ACCEPT_GRACE_S", 0.0)
     monkeypatch.setattr(client_server, "REQUEST_GRACE_S", 0.0)
     async with gateway() as it:
-        assert it.downstream.listener is not None
-        address = it.downstream.listener.sockets[0].getsockname()
-        drain = it.downstream.drain()
+        assert it.client_server.listener is not None
+        address = it.client_server.listener.sockets[0].getsockname()
+        drain = it.client_server.drain()
         drain.send(None)  # now it waits for the end of accepting
         queued = socket.create_connection(address)
         queued.send(ask())
@@ -70,7 +72,7 @@
         client = await it.client()
         client.send(ask() + ask())
         taken = await it.host.taken.get()
-        it.downstream.draining = True
+        it.client_server.draining = True
         taken.answer()
         assert (await client.answer())[0] == 200
         (await it.host.taken.get()).answer()
@@ -87,9 +89,9 @@
         taken = await it.host.taken.get()
         connection = it.stop_reading(client)
         assert connection.transport is not None
-        it.downstream.draining = True
+        it.client_server.draining = True
         taken.answer(body=bytes(60_000))
         await it.event(AttemptEnded)
         assert connection.transport.get_write_buffer_size() > 0
-        await it.downstream.close_connections()
+        await it.client_server.close_connections()
         client.writer.transport.abort()
--- a/tests/gateway/test_reload.py
+++ b/tests/gateway/test_reload.py
@@ -54,10 +54,10 @@
 ) -> None:
     caplog.set_level(logging.INFO)
     async with reloadable(tmp_path) as it:
-        before = it.gateway.downstream.lookup
+        before = it.gateway.client_server.lookup
         await it.reload()
         assert it.settings_version == 1
-        assert it.gateway.downstream.lookup is before
+        assert it.gateway.client_server.lookup is before
         (one,) = logged(caplog)
         assert (one["event"], one["settings_version"]) == ("config.unchanged", 1)
 
@@ -170,7 +170,7 @@
         await it.finish_reading()
         assert len(began) == 2
         assert it.settings_version == 3
-        assert list(it.gateway.downstream.lookup.classes) == [b"look", b"third"]
+        assert list(it.gateway.client_server.lookup.classes) == [b"look", b"third"]
 
 
 @pytest.mark.parametrize("end", ["applied", "rejected", "closed"])
@@ -210,8 +210,8 @@
         client, late = await it.gateway.client(), await it.gateway.client()
         client.send(ask(Tenant="umbrella"))
         taken = await it.gateway.host.taken.get()
-        drain = asyncio.ensure_future(it.gateway.downstream.drain())
-        await until(lambda: it.gateway.downstream.draining)
+        drain = asyncio.ensure_future(it.gateway.client_server.drain())
+        await until(lambda: it.gateway.client_server.draining)
         await it.reload(with_classes("look", tenants=[{"name": "acme"}]))
         await it.gateway.served(late, ask(Tenant="acme"))
         taken.answer()
--- a/tests/lab/test_stand_ins.py
+++ b/tests/lab/test_stand_ins.py
@@ -64,13 +64,13 @@
     it = Gateway(proxy, ClientServer(config, proxy, loop), StubEndpoint(), Scripted())
     it.watch_events()
     await proxy.start()
-    await it.downstream.start()
+    await it.client_server.start()
     try:
         yield Rig(registry, statements, ports, it)
     finally:
-        assert it.downstream.listener is not None
-        it.downstream.listener.close()
-        for connection in list(it.downstream.connections):
+        assert it.client_server.listener is not None
+        it.client_server.listener.close()
+        for connection in list(it.client_server.connections):
             connection.close()
         proxy.close()
         registry.go_down()
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -266,7 +266,7 @@
 @dataclass
 class Gateway:
     proxy: Proxy
-    downstream: ClientServer
+    client_server: ClientServer
     host: StubEndpoint
     registry: Registry
     events: list[Event] = field(default_factory=list)
@@ -301,7 +301,7 @@
 
     def stop_reading(self, client: Client) -> ClientConnection:
         """The client takes in nothing more, and little is on the way; returns the gateway's side of it."""
-        (connection,) = self.downstream.connections
+        (connection,) = self.client_server.connections
         assert connection.transport is not None
         ours = connection.transport.get_extra_info("socket")
         ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -309,8 +309,8 @@
         return connection
 
     async def client(self) -> Client:
-        assert self.downstream.listener is not None
-        host, port = self.downstream.listener.sockets[0].getsockname()
+        assert self.client_server.listener is not None
+        host, port = self.client_server.listener.sockets[0].getsockname()
         sock = small_socket()
         sock.setblocking(False)
         await asyncio.get_running_loop().sock_connect(sock, (host, port))
@@ -328,17 +328,17 @@
     loop = asyncio.get_running_loop()
     proxy = Proxy(config, loop)
     proxy.upstream.timing.reuse_delay_s = rest_s
-    downstream = ClientServer(config, proxy, loop)
-    it = Gateway(proxy, downstream, host, registry)
+    client_server = ClientServer(config, proxy, loop)
+    it = Gateway(proxy, client_server, host, registry)
     it.watch_events()
     await proxy.start()
-    await downstream.start()
+    await client_server.start()
     try:
         yield it
     finally:
-        assert downstream.listener is not None
-        downstream.listener.close()
-        for connection in list(downstream.connections):
+        assert client_server.listener is not None
+        client_server.listener.close()
+        for connection in list(client_server.connections):
             connection.close()
         proxy.close()
         host.stop()
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -85,7 +85,9 @@
 def test_show_prints_a_file_of_the_same_configuration(short_file: Path) -> None:
     for file in (short_file, EXAMPLE):
         again = load(call("show", file).stdout)
-        assert replace(again, content="", known={}) == replace(load(file.read_bytes()), content="", known={})
+        assert replace(again, settings_digest="", cached_endpoint_list={}) == replace(
+            load(file.read_bytes()), settings_digest="", cached_endpoint_list={}
+        )
 
 
 def test_diff_of_a_file_with_itself_names_nothing() -> None:
