--- a/load_balancer/__main__.py
+++ b/load_balancer/__main__.py
@@ -1,4 +1,4 @@
-"""The gateway's process: its start, its signals and its exit codes. With arguments, the command line."""
+"""Entry point: runs the gateway, or the command line where there are arguments."""
 
 from __future__ import annotations
 
@@ -37,20 +37,20 @@
     loop.add_signal_handler(signal.SIGHUP, reloader.request_reload)
     await proxy.start()
     gc.collect()
-    gc.freeze()  # the cached endpoints live as long as the process: no collection need visit them
+    gc.freeze()  # exempts the cached endpoints, which live as long as the process, from collections
     trim_heap()
     await client_server.start()
     log_event("gateway.listening", name=config.name, listen=f"{config.listen[0]}:{config.listen[1]}")
     await stop_requested.wait()
     await client_server.drain()
     loop.remove_signal_handler(signal.SIGHUP)
-    _ignore_sighup()  # from here to the end of the process
+    _ignore_sighup()  # until the process ends
     reloader.close()
     proxy.close()
 
 
 def _ignore_sighup() -> None:
-    """Keep SIGHUP, which asks for a reload, from ending the process while there is no gateway to reload."""
+    """Ignore SIGHUP, whose default action ends the process, while there is no gateway to reload."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 
@@ -63,12 +63,12 @@
     except ConfigError as error:
         log_event("config.invalid", error=error)
         return EXIT_CONFIG_INVALID
-    gc.freeze()  # what the imports made is never garbage
+    gc.freeze()  # exempts imported modules from collections
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(serve(config))
     except OSError as error:
-        flush()  # what has been counted comes before the last line
+        flush()  # write counted repeats before the last line
         log_event("gateway.start_failed", error=error)
         return EXIT_START_FAILED
     finally:
@@ -79,7 +79,7 @@
 def main() -> int:
     """Run a command where there are arguments, and the gateway where there are none."""
     if len(sys.argv) > 1:
-        from load_balancer.cli import command  # a gateway need not hold what the commands import
+        from load_balancer.cli import command  # keeps click out of a gateway's memory
 
         return int(command(prog_name="python -m load_balancer") or 0)
     return run_gateway()
--- a/load_balancer/config/__init__.py
+++ b/load_balancer/config/__init__.py
@@ -1,1 +1,1 @@
-"""From an operator's JSON to settings: models of the file, reader, errors."""
+"""Reading of the configuration: models of the JSON file, conversion to settings, and errors."""
--- a/load_balancer/config/comparison.py
+++ b/load_balancer/config/comparison.py
@@ -1,4 +1,4 @@
-"""What a running gateway would do if one configuration were replaced by another, as lines of text."""
+"""The effects on a running gateway of replacing one configuration by another, as lines of text."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ItemChanges:
-    """What a change does to the request classes or to the tenants, by name.
+    """The differences between two lists of request classes or of tenants, by name.
 
     Attributes:
         added: Names that only the new configuration has.
         removed: Names that only the old configuration has.
         changed: For each name whose fields differ, those fields with both values.
-        unchanged_count: How many are equal.
+        unchanged_count: Number of items that are equal in both.
         restarted: Names in both whose state starts anew.
     """
 
@@ -56,12 +56,12 @@
 def compare_configs(
     old: EffectiveConfig, new: EffectiveConfig, max_lines: int, restart_only: Sequence[str]
 ) -> Iterator[str]:
-    """Yield a line for each thing that replacing `old` by `new` would do.
+    """Yield a line for each effect of replacing `old` by `new`.
 
     Args:
-        old: What a gateway runs with.
-        new: What it would be given.
-        max_lines: Lines for each of the long lists, besides its summary.
+        old: The configuration in force.
+        new: The configuration that replaces it.
+        max_lines: Most lines for each of the long lists, without its summary.
         restart_only: Paths of the settings that differ and that only a new process can change.
     """
     old_version = initial_version(old.config.settings)
@@ -114,7 +114,7 @@
 
 def _tenant_ids(version: SettingsVersion) -> dict[str, int]:
     names = [each.name for each in version.settings.tenants]
-    return dict(zip(names, version.tenant_ids, strict=False))  # without tenants there is an id all the same
+    return dict(zip(names, version.tenant_ids, strict=False))  # without tenants there is one id
 
 
 def _changed_fields(old: JsonObject, new: JsonObject, path: str = "") -> Iterator[str]:
@@ -143,7 +143,7 @@
 
 
 def _section(title: str, changes: Iterable[str]) -> Iterator[str]:
-    """Yield a title and a line for each change; nothing where there is none."""
+    """Yield a title and a line for each change, or nothing without changes."""
     lines = [f"  ~ {change}" for change in changes]
     if lines:
         yield f"{title}:"
--- a/load_balancer/config/effective_config.py
+++ b/load_balancer/config/effective_config.py
@@ -29,10 +29,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EffectiveConfig:
-    """A configuration as a gateway would take it.
+    """A configuration as a gateway would apply it.
 
     Attributes:
-        config: What is in force.
+        config: The configuration as read.
         document: The same as JSON in the file's vocabulary, without the cached endpoint list.
     """
 
--- a/load_balancer/config/errors.py
+++ b/load_balancer/config/errors.py
@@ -54,7 +54,7 @@
         """Collect an error at a JSON path.
 
         Raises:
-            SettingsFormatError: There are as many errors as are wanted.
+            SettingsFormatError: `max_errors` errors have been collected.
         """
         self.messages.append(printable_line(f"{path}: {message}" if path else message))
         if len(self.messages) >= self.max_errors:
--- a/load_balancer/config/file.py
+++ b/load_balancer/config/file.py
@@ -66,9 +66,9 @@
 
     Args:
         environ: The ROUTER_* variables.
-        previous: The configuration in force. What is equal in it is taken over as the same objects (tenants,
-            classes, names, and whole tuples in which nothing differs), the address of service discovery is
-            the file's, and the cached endpoint list is left empty, as the process holds a newer one.
+        previous: The configuration in force. Equal parts (tenants, classes,
+            names, and whole tuples) are reused as the same objects, ROUTER_DISCOVERY is ignored, and the
+            cached endpoint list is left empty, as the process holds a newer one.
         max_errors: Reading stops after this many errors in the file's contents.
 
     Raises:
--- a/load_balancer/config/file_models.py
+++ b/load_balancer/config/file_models.py
@@ -1,4 +1,4 @@
-"""Models of the configuration file: what stands beside the settings object."""
+"""Models of the configuration file, without the settings object."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 class FileModel(Struct):
     """The file; the settings and the cached endpoint list are left raw, to be read piece by piece.
 
-    What the environment may override is checked once it is known which value counts.
+    Values that the environment may override are checked after the override.
     """
 
     settings: Raw
--- a/load_balancer/config/json_document.py
+++ b/load_balancer/config/json_document.py
@@ -45,7 +45,7 @@
         The value, or None once an error has been added to `errors`.
 
     Raises:
-        SettingsFormatError: The text is not JSON, or there are as many errors as are wanted.
+        SettingsFormatError: The text is not JSON, or the limit of `errors` is reached.
     """
     try:
         return msgspec.json.decode(data, type=value_type)
@@ -57,7 +57,7 @@
         msgspec.json.decode(data, type=Raw)
     except RecursionError:
         raise _nested_too_deep() from None
-    except msgspec.DecodeError as error:  # a syntax error counts first, even if it stands further on
+    except msgspec.DecodeError as error:  # a syntax error is reported first, even if it stands further on
         raise SettingsFormatError([(yield from syntax_error(data, error))]) from None
     add_decode_errors(data, value_type, "", errors, type_error)
     return None
@@ -70,7 +70,7 @@
         The value, or None once an error has been added to `errors`.
 
     Raises:
-        SettingsFormatError: There are as many errors as are wanted.
+        SettingsFormatError: The limit of `errors` is reached.
     """
     try:
         return msgspec.json.decode(raw, type=value_type)
@@ -122,7 +122,7 @@
 
 
 def _describe_expected(value_type: Any) -> str:
-    """Say which values a type has, as msgspec would of a null."""
+    """Return the description of a type that msgspec gives when it decodes null."""
     if get_origin(value_type) is Literal:
         return f"expected {' or '.join(map(str, get_args(value_type)))}"
     try:
--- a/load_balancer/config/models.py
+++ b/load_balancer/config/models.py
@@ -1,6 +1,6 @@
 """Models of the settings object, and the operators' vocabulary for it.
 
-Operators write settings in the words of the simulator's first message: `lanes`, `giveUpUs`, `tipMultiple`.
+Operators write settings with the names of the simulator's first message: `lanes`, `giveUpUs`, `tipMultiple`.
 This module is the one place that maps them: fields have the names of `load_balancer.decisions.settings`, and
 `msgspec.field(name=...)` gives the word in JSON where it is another one. Times are in microseconds. The order
 of the fields is the order in which they are printed.
--- a/load_balancer/config/settings_conversion.py
+++ b/load_balancer/config/settings_conversion.py
@@ -1,4 +1,4 @@
-"""From the models of the settings object to the settings that the decisions are made from."""
+"""Conversion of the settings models to the `Settings` that the balancer uses."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
     """Return the settings of a model and its lists.
 
     Raises:
-        SettingsError: No decision can be made from these settings.
+        SettingsError: The values are out of range or contradict each other.
     """
     capabilities, contract = model.capabilities, model.contract
     return Settings(
--- a/load_balancer/config/settings_reader.py
+++ b/load_balancer/config/settings_reader.py
@@ -83,9 +83,9 @@
     Args:
         raw: The JSON text of the settings object.
         path: The path of the settings in their document; empty if they are a document of their own.
-        previous: Settings in force; what is equal in them is taken over as the same object: a class, a
-            tenant, or the whole tuple of a list.
-        errors: Collects what is wrong; by default the first error is raised.
+        previous: Settings in force; equal parts are reused as the same object: a class, a tenant,
+            or the whole tuple of a list.
+        errors: Collects the errors; by default the first error is raised.
         names_required: Each class and each tenant must have a name.
 
     Raises:
@@ -139,7 +139,7 @@
 
 
 def _check_fields(model: SettingsModel, path: str, errors: ValidationErrors) -> None:
-    """Check what one field requires of another."""
+    """Check rules that involve several fields."""
     if not model.classes:
         errors.add(join_path(path, CLASSES_KEY), "expected at least one")
     index, gateways = int(model.gateway_index), int(model.gateways)
--- a/load_balancer/decisions/actions.py
+++ b/load_balancer/decisions/actions.py
@@ -22,11 +22,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    """Final answer: not done, and trying again is harmless.
+    """Final answer: the request was not executed, and retrying it is safe.
 
     Attributes:
         request_id: The request that is rejected.
-        retry_after_us: How long the client should stay away, in microseconds; 0 for no advice.
+        retry_after_us: How long the client should wait before a retry, in microseconds; 0 if unspecified.
     """
 
     request_id: str
@@ -35,14 +35,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer: no success, and no promise about the effect."""
+    """Final answer: failed; the request may or may not have been executed."""
 
     request_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """Stop waiting for one attempt; its outcome is `CANCELLED` unless another is under way already."""
+    """Stop waiting for one attempt; its outcome is `CANCELLED` unless it has already ended otherwise."""
 
     request_id: str
     attempt: int
--- a/load_balancer/decisions/admission.py
+++ b/load_balancer/decisions/admission.py
@@ -1,7 +1,7 @@
 """Admission control: which requests are rejected on arrival, before they cost an endpoint anything.
 
-When more is asked for than can be served, queues would grow until no answer meets its objective. A share of
-the work is shed instead, the least priority first.
+Under overload, queues would grow until no answer meets its latency objective. Instead a share of the work is
+shed, the lowest priority first.
 """
 
 from __future__ import annotations
@@ -15,10 +15,14 @@
 from load_balancer.decisions.priority_order import PriorityOrder
 from load_balancer.decisions.request import Request
 
-MAX_SHED_SHARE = 0.95  # what still comes through shows when to shed less
-SHED_SHARE_STEP = 0.1  # of the work asked for, shed more or less after one list with load-dependent weights
-HELD_REQUESTS_PER_CORE = 1.0  # requests at a core, by load-dependent weights, beyond which more is shed
-SHORT_TIMEOUT_TRIAL_SHARE = 0.02  # of the requests with too short a timeout that are sent all the same
+MAX_SHED_SHARE = 0.95  # the admitted rest shows when to shed less
+SHED_SHARE_STEP = (
+    0.1  # of the demand: change of the shed share for each list, per request in excess at a core
+)
+HELD_REQUESTS_PER_CORE = (
+    1.0  # requests in flight at a core, by load-dependent weights, beyond which more is shed
+)
+SHORT_TIMEOUT_TRIAL_SHARE = 0.02  # of the requests with too short a timeout, admitted as trials
 
 
 class AdmissionControl:
@@ -26,9 +30,9 @@
 
     Attributes:
         load_shed_share: Share of the work to shed by load-dependent weights, from 0 to `MAX_SHED_SHARE`.
-        order: The work asked for by priority, as last made.
-        mean_priority_weight: Mean priority weight of the requests asked for, as of that order.
-        worst_served_share: Share served in time of the class that is served worst, as of that order.
+        order: The demand by priority, as last sorted.
+        mean_priority_weight: Mean priority weight of the demand, as of that order.
+        worst_served_share: Smallest share of a class's requests served in time, as of that order.
     """
 
     __slots__ = (
@@ -54,21 +58,21 @@
 
     @property
     def shed_share(self) -> float:
-        """Share of the work asked for to shed: the more, the more is in flight beyond the limit.
+        """Share of the demand to shed, which rises with the requests in flight beyond the limit.
 
-        It follows what is in flight now, so shedding ends as soon as the endpoints have answered.
+        It follows the current number in flight, so shedding ends as soon as the endpoints have answered.
         """
         limit = self._limit
         return min(MAX_SHED_SHARE, max(0.0, self.load_shed_share, limit.in_flight / limit.limit - 1.0))
 
     def forget_order(self) -> None:
-        """Make the order by priority anew before it is used again."""
+        """Discard the order by priority, so that it is sorted again before its next use."""
         self.order = PriorityOrder(-1, [])
 
     def apply_load_dependent_weights(self, held_requests: float, endpoint_count: int) -> None:
-        """Take in how many requests all endpoints together hold, as their listed weights show.
+        """Adjust the share to shed to the requests in flight at all endpoints, as their listed weights show.
 
-        A gateway with few answers of its own would notice the crowd only seconds later.
+        A gateway with few answers of its own would notice an overload only seconds later.
         """
         excess = held_requests / endpoint_count / HELD_REQUESTS_PER_CORE - 1.0
         share = self.load_shed_share + SHED_SHARE_STEP * min(2.0, excess)
@@ -96,20 +100,23 @@
         return below + amount / self.order.whole * self._random.random() < shed_share
 
     def sort_demand(self) -> None:
-        """Put what has been asked for of late in order of priority."""
+        """Sort the recent demand by priority."""
         demand, by_id = self._demand, self._context.classes.by_id
-        asked = demand.within_quota
-        total = sum(asked.values()) or 1.0
-        weighted = sum(by_id[class_id].terms.priority_weight * n for class_id, n in sorted(asked.items()))
+        demand_by_class = demand.within_quota
+        total = sum(demand_by_class.values()) or 1.0
+        weighted = sum(
+            by_id[class_id].terms.priority_weight * count
+            for class_id, count in sorted(demand_by_class.items())
+        )
         self.mean_priority_weight = weighted / total or 1.0
-        served = [demand.served.get(class_id, 0.0) / n for class_id, n in asked.items()]
+        served = [demand.served.get(class_id, 0.0) / count for class_id, count in demand_by_class.items()]
         if len(served) < len(by_id):
-            served.append(1.0)  # of classes that nobody asked for nothing is left unserved
+            served.append(1.0)  # a class without demand counts as fully served
         self.worst_served_share = min(served)
         parts = [
-            (self.priority(by_id[class_id], over_quota), n * by_id[class_id].unloaded_us)
-            for over_quota, counts in ((False, asked), (True, demand.over_quota))
-            for class_id, n in counts.items()
+            (self.priority(by_id[class_id], over_quota), count * by_id[class_id].unloaded_us)
+            for over_quota, counts in ((False, demand_by_class), (True, demand.over_quota))
+            for class_id, count in counts.items()
         ]
         self.order = PriorityOrder(demand.changes, parts)
 
@@ -123,22 +130,22 @@
         if over_quota:
             return gain * settings.over_quota_weight_share
         class_id = request_class.class_id
-        asked = demand.within_quota.get(class_id, 0.0)
-        if asked and demand.served.get(class_id, 0.0) / asked <= self.worst_served_share:
-            gain += objective.worst_class * (demand.total_within_quota or 1.0) / asked / unit_us
+        class_demand = demand.within_quota.get(class_id, 0.0)
+        if class_demand and demand.served.get(class_id, 0.0) / class_demand <= self.worst_served_share:
+            gain += objective.worst_class * (demand.total_within_quota or 1.0) / class_demand / unit_us
         return gain
 
     def shedding_left_us(self) -> int:
-        """Return when shedding may end, as the time to answer what is in flight beyond the limit."""
+        """Return the estimated time until shedding ends: that of answering the excess in flight."""
         limit = self._limit
         answers = max(limit.in_flight - limit.limit, self.load_shed_share / SHED_SHARE_STEP)
         return int(answers * self._context.classes.slowest.smoothed_us / max(1, limit.in_flight))
 
     def _is_hopeless(self, request: Request) -> bool:
-        """Return whether the time is over, or shorter than any answer of the class has taken.
+        """Return whether the remaining timeout is over or shorter than the unloaded latency.
 
-        Clients in a hurry that ask again and again would keep the endpoints at work that nobody waits for.
-        A few are sent all the same, as answers may have become shorter.
+        Repeated requests with short timeouts would keep the endpoints busy with work whose clients have left.
+        A few are admitted as trials, as latency may have fallen.
         """
         now_us = self._context.now_us
         left_us = request.wait_until_us(now_us) - now_us
--- a/load_balancer/decisions/balancer.py
+++ b/load_balancer/decisions/balancer.py
@@ -11,7 +11,7 @@
    endpoint that has just started.
 5. `picker` draws one of them at random. Weights come from the list, `load_reports`, `locality` and the
    feedback of `weight_controller`.
-6. `outliers` enters the outcome of the attempt in the breakers, the weight, `latency` and the limit.
+6. `outliers` records the outcome of the attempt in the breakers, the weight, `latency` and the limit.
 
 Three records are changed by several parts. `Request`: by `request_lifecycle`, `ordered_keys` (its queue) and,
 with `Attempt`, by `dispatcher` and `retries` (overdue). `EndpointState`: by `endpoint_list` (as listed),
@@ -70,18 +70,18 @@
         log: Log events, at a limited rate.
         breakers: Totals over all circuit breakers.
         endpoints: The listed endpoints.
-        polling: When to ask for the list again.
+        polling: When to subscribe to the list again.
         arrivals: How often requests arrive.
-        demand: What is asked for, and served in time.
-        quotas: What is left of the tenants' quotas.
-        concurrency_limit: The limit on what is in flight.
-        admission: What is shed.
-        load_reports: What endpoints report of their load.
+        demand: Recent requests by class, and how many were served in time.
+        quotas: Remaining quota of each tenant.
+        concurrency_limit: The limit on requests in flight.
+        admission: Decides which requests are shed.
+        load_reports: Applies the endpoints' load reports.
         dispatcher: Sends attempts.
         retry_budget: Tokens for retries.
         intake: Makes the records of requests.
-        lifecycle: Requests until their final answer.
-        outcomes: Enters the outcomes of attempts.
+        lifecycle: Tracks requests until their final answer.
+        outcomes: Records the outcomes of attempts.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -122,14 +122,14 @@
         return self.context.settings_version
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        """Take one event.
+        """Handle one event.
 
         Args:
-            now_us: The time; a clock that steps back counts as standing still.
+            now_us: The time in microseconds; an earlier one than before counts as the same.
             event: The event.
 
         Returns:
-            What to do, in order.
+            The actions to carry out, in order.
         """
         now_us = self.context.now_us = max(now_us, self.context.now_us)
         self._actions.clear()
@@ -178,8 +178,8 @@
         if request is None or request.done:
             return
         for attempt in request.attempts[-1:]:
-            # The client waited long enough for an unloaded endpoint and left all the same: as good as a
-            # time-out. Many impatient clients would otherwise hide a jam that they make.
+            # The client waited longer than an unloaded endpoint takes: this counts as a time-out. Otherwise
+            # clients that disconnect early would hide the overload.
             if not attempt.ended and self.context.now_us - attempt.sent_us > request.unloaded_us:
                 self.concurrency_limit.step(True)
         self.lifecycle.finish(request)
@@ -210,7 +210,7 @@
             self.demand.note_served(request.request_class.class_id)
 
     def _on_settings_changed(self, version: SettingsVersion) -> None:
-        """Put settings in force for what arrives from now on; requests in flight end under their own."""
+        """Put settings in force for what arrives from now on; requests in flight keep theirs."""
         context = self.context
         if version.number <= context.settings_version.number:
             return
--- a/load_balancer/decisions/client_timeouts.py
+++ b/load_balancer/decisions/client_timeouts.py
@@ -1,4 +1,4 @@
-"""The timeout that clients give their first tries, by which later tries are told from them."""
+"""The timeout that clients give their first tries, which distinguishes first tries from retries."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 ) -> int:
     """Return how much of its client's timeout the earlier tries of a request have used; 0 for a first try.
 
-    All first tries of a class have the same timeout, found by majority vote; another one shows a retry that
-    has all the time that is left. Comparing with the stated timeout would not do, as clients may give the
-    last try more time than the first: most requests would seem past their objective on arrival.
+    First tries of a class share one timeout, found by majority vote; a different one marks a retry, which has
+    the rest of the client's time. The configured timeout is not used for this: clients may give the last try
+    more time than the first, so that most requests would seem past their objective on arrival.
     """
     usual_us, votes = request_class.usual_timeout_us, request_class.timeout_votes
     timeout_us = event.remaining_timeout_us
--- a/load_balancer/decisions/concurrency_limit.py
+++ b/load_balancer/decisions/concurrency_limit.py
@@ -1,4 +1,4 @@
-"""A limit on the requests in flight: down after an answer that waited, up after a prompt one."""
+"""An adaptive limit on the requests in flight: lowered by slow answers, raised by prompt ones."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 from load_balancer.decisions.latency import SLOW_LATENCY_FACTOR
 from load_balancer.decisions.request import Request
 
-INITIAL_LIMIT = 6.0  # requests: many gateways that restart together must not add up to a jam
+INITIAL_LIMIT = 6.0  # requests: gateways that restart together must not overload the endpoints
 MIN_LIMIT = 0.5  # requests: with one in flight hardly any more are sent
 LIMIT_STEP = 0.2  # requests: least step of the limit; larger where the limit is below 5
-LIMIT_DECREASE_STEPS = 3.0  # steps taken off by a long answer: it holds where a quarter are long
+LIMIT_DECREASE_STEPS = 3.0  # steps down for a slow answer: balanced where one in four is slow
 LIMIT_IN_USE_SHARE = 0.75  # share of the limit that must be in flight for a prompt answer to raise it
 TOLERATED_WAIT_SHARE = 0.25  # share of the time left by the unloaded latency that an answer may have waited
 
@@ -42,22 +42,22 @@
         """Change the limit by the outcome of an attempt."""
         outcome = event.outcome
         if outcome in (Outcome.OK, Outcome.REJECTED) and dict(event.load_report).get("queue", 0.0) >= 1.0:
-            # Work waits at the endpoint: a crowd, not a limit on one class or tenant. Endpoints that are full
-            # reject at once, so that little is in flight, and latency shows the jam only seconds later.
+            # Work is queued at the endpoint: an overload, not a limit on one class or tenant. Full endpoints
+            # reject at once, so that little is in flight and latency shows the overload only seconds later.
             self.step(True, most=1.0)
             return
         if outcome not in (Outcome.OK, Outcome.TIMEOUT):
             return
         long = self._waited_too_long(request, event)
-        if outcome is Outcome.OK or long:  # a time-out shows no more than that the answer came later
+        if outcome is Outcome.OK or long:  # a short time-out is no evidence either way
             self.step(long)
 
     def step(self, long: bool, most: float = 2.0) -> None:
         """Lower the limit after a long answer; raise it after a prompt one if much of it is in use.
 
-        What was sent before a step still takes long after it; a step is small against the limit, so that all
-        attempts under way together lower it by a part. A low limit lets few answers come, so that each
-        counts for more. A long answer leaves no more than `most` times what is in flight.
+        Attempts sent before a step are still slow after it. Steps are small relative to the limit, so that
+        all attempts in flight together lower it by a fraction only. With a low limit there are few answers,
+        so that each counts for more. A slow answer caps the limit at `most` times the number in flight.
         """
         step = max(LIMIT_STEP, min(1.0, 1.0 / self.limit))
         if long:
@@ -70,8 +70,8 @@
     def _waited_too_long(self, request: Request, event: AttemptEnded) -> bool:
         """Return whether an attempt took longer than tolerated beyond the unloaded latency.
 
-        The time is no more than its client gave: many that time out and are asked again are a jam too. The
-        tolerated wait is no less than what makes an answer slow, as work varies by itself.
+        The wait is bounded by the client's timeout, as many time-outs with retries are an overload too. The
+        tolerated wait is at least that of a slow answer, as work varies by itself.
         """
         request_class = request.request_class
         terms, unloaded_us = request_class.terms, request_class.unloaded_us
--- a/load_balancer/decisions/context.py
+++ b/load_balancer/decisions/context.py
@@ -1,4 +1,4 @@
-"""What is in force at the event that is handled: the time, the settings and their classes."""
+"""The time, the settings and the request classes that apply to the current event."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Context:
-    """Read by all parts of the balancer; only `Balancer` changes it.
+    """Shared state that all parts of the balancer read and only `Balancer` changes.
 
     Attributes:
         now_us: The time of the event.
--- a/load_balancer/decisions/demand.py
+++ b/load_balancer/decisions/demand.py
@@ -1,4 +1,4 @@
-"""How often requests arrive, and how much of what is asked for, by class, is served in time."""
+"""How often requests arrive, and how many of each class are served in time."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         self.last_us = 0
 
     def note_arrival(self, now_us: int) -> None:
-        """Take in one more request."""
+        """Update the interval with one more request."""
         if self.last_us:
             self.interval_us += SMOOTHING_FACTOR * (now_us - self.last_us - self.interval_us)
         self.last_us = now_us
@@ -37,7 +37,7 @@
 
 
 class Demand:
-    """First tries of late by class id.
+    """Recent first tries by class id, with decaying counts.
 
     Attributes:
         within_quota: First tries within their tenant's quota.
@@ -78,7 +78,7 @@
         self.changes += 1
 
     def keep(self, classes: Mapping[int, ClassState]) -> None:
-        """Forget all classes but these."""
+        """Drop the counts of all classes but these."""
         for counts in (self.within_quota, self.over_quota, self.served):
             for class_id in counts.keys() - classes.keys():
                 del counts[class_id]
--- a/load_balancer/decisions/endpoint.py
+++ b/load_balancer/decisions/endpoint.py
@@ -20,7 +20,7 @@
     DELTA = "delta"  # changed endpoints only
     COMPLETE = "complete"  # every endpoint; one that is missing has been removed
     CACHED = "cached"  # every endpoint as this gateway last stored it, possibly stale
-    ERROR = "error"  # a poll failed or the subscription broke; the list before stands
+    ERROR = "error"  # a poll or the subscription failed; the previous list stays in use
 
 
 @dataclass(slots=True, frozen=True)
--- a/load_balancer/decisions/endpoint_list.py
+++ b/load_balancer/decisions/endpoint_list.py
@@ -94,8 +94,8 @@
     ) -> EndpointState:
         """Add an endpoint that is new or has restarted, with the mean weight of the others.
 
-        Many gateways learn of its start at once and each may send one request at the least: each begins with
-        a random part of its budget spent, so that these do not come together.
+        All gateways learn of its start at once. Each begins with a random part of its slow-start budget
+        spent, so that their first requests do not arrive together.
         """
         locality = zone_factor(endpoint.zone, settings)
         rank = rendezvous_rank(settings.gateway_index, endpoint.id, locality)
--- a/load_balancer/decisions/endpoint_state.py
+++ b/load_balancer/decisions/endpoint_state.py
@@ -119,8 +119,8 @@
 def breakers_for(endpoint: EndpointState, key: int) -> tuple[CircuitBreaker | None, CircuitBreaker | None]:
     """Return the breakers that must let a request through; None stands for a closed one without outcomes.
 
-    An endpoint that fails one class or tenant only would, with a single breaker, be kept for all requests
-    or lost to all: its few failures are hidden among the answers to the others.
+    An endpoint that fails one class or tenant only would, with a single breaker, be used for all requests
+    or ejected for all, as its few failures are hidden among the answers to the others.
     """
     breakers = endpoint.breakers
     return breakers.get(ALL_REQUESTS), breakers.get(key)
--- a/load_balancer/decisions/events.py
+++ b/load_balancer/decisions/events.py
@@ -1,4 +1,4 @@
-"""Events: what the balancer is told.
+"""Events: the inputs of the balancer.
 
 Absolute times are readings of the caller's clock in whole microseconds, which only moves forward; everything
 else ending in `_us` is a duration. Requests, endpoints, classes and tenants are identifiers that are compared
@@ -19,12 +19,12 @@
 
     OK = "ok"
     ERROR = "error"  # answered with an error; may have run
-    REJECTED = "rejected"  # turned down unexamined; never ran, but see Settings.rejected_may_have_run
+    REJECTED = "rejected"  # not accepted; never ran, but see Settings.rejected_may_have_run
     TIMEOUT = "timeout"  # may have run
     CONNECT_FAILED = "connect_failed"  # never ran
     RESET = "reset"  # the connection broke with the attempt in flight; may have run
     CANCELLED = "cancelled"  # may have run
-    NOT_SENT = "not_sent"  # given up before a byte was written; never ran
+    NOT_SENT = "not_sent"  # abandoned before a byte was written; never ran
 
 
 NEVER_EXECUTED = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
@@ -51,17 +51,17 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestArrived:
-    """A client's request, to which one final answer is owed from now on.
+    """A client's request has arrived; it is pending until its one final answer.
 
     Attributes:
         request_id: Unique for the lifetime of the balancer.
         request_class: Index of its class in the settings, from 0.
-        remaining_timeout_us: Until the client abandons this try.
+        remaining_timeout_us: Time until the client abandons this try.
         key: Affinity key; requests with one key belong together.
         work_us: Expected work on a standard core; None where nothing is known.
         is_retry: Whether the client marked it as a retry.
         tenant: Index of its tenant in the settings, from 0.
-        is_write: Whether it changes data; steers nothing yet.
+        is_write: Whether it changes data; not used yet.
     """
 
     request_id: str
@@ -99,14 +99,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """The client has gone; no answer is owed any more."""
+    """The client has disconnected; its request needs no answer any more."""
 
     request_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class StreamStarted:
-    """A streamed answer has begun: its client owns the attempt and no deadline holds."""
+    """A streamed answer has begun; the attempt is tied to its client and has no deadline."""
 
     request_id: str
     attempt: int
--- a/load_balancer/decisions/latency.py
+++ b/load_balancer/decisions/latency.py
@@ -14,11 +14,13 @@
 HINTED_WORK_SHARE = 0.3  # part of the usual latency that goes with the hinted work
 MIN_ANSWERS = 5  # answers of a class before its shortest latency is relied on
 UNLOADED_DECREASE_SHARE = 0.05  # share of the way that the unloaded latency moves to a shorter one
-UNLOADED_INCREASE_SHARE = 0.0005  # relative rise with each answer: a jam must not soon pass for the usual
+UNLOADED_INCREASE_SHARE = (
+    0.0005  # relative rise with each answer: slow, so that overload does not pass for normal
+)
 
 
 class ClassState:
-    """What answers have shown of one request class since it last changed its meaning.
+    """Estimates for one request class since its settings last changed.
 
     Attributes:
         class_id: Id of the class in the settings' versions.
@@ -71,11 +73,11 @@
             owner.slowest = max(owner, key=attrgetter("_smoothed_us"))
 
     def learn_latency(self, latency_us: float) -> None:
-        """Take in the latency of a good answer, for work of the usual size.
+        """Update the estimates with the latency of a good answer, for work of the usual size.
 
-        The unloaded latency begins above what is likely and follows the first answers faster: a gateway that
-        has just started would otherwise take a jam for the usual. It does not follow at once, since one short
-        answer is no measure.
+        The unloaded latency starts high and follows the first answers faster, or else a gateway that has just
+        started would take an overload for normal. It does not follow one answer fully, as a single short one
+        is not representative.
         """
         self.smoothed_us += SMOOTHING_FACTOR * (latency_us - self.smoothed_us)
         unloaded_us = self.unloaded_us
@@ -84,7 +86,7 @@
         self.unloaded_us += share * min(0.0, latency_us - unloaded_us) + UNLOADED_INCREASE_SHARE * unloaded_us
 
     def learn_work(self, work_us: int) -> float:
-        """Take in a hint of a request's work; returns its expected latency over the class's usual one."""
+        """Update the mean work with a hint; returns the request's latency relative to its class's."""
         mean_us = self.mean_work_us or float(work_us)
         self.mean_work_us = mean_us + SMOOTHING_FACTOR * (work_us - mean_us)
         return 1.0 + HINTED_WORK_SHARE * (work_us / mean_us - 1.0)
--- a/load_balancer/decisions/list_polling.py
+++ b/load_balancer/decisions/list_polling.py
@@ -1,4 +1,4 @@
-"""When to ask the list service for the endpoint list again."""
+"""When to subscribe to the endpoint list again."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 # reached. Of these a call may hang for 3 s and the next wait in a queue for 2 s, see gateway/discovery.py.
 MAX_POLL_BACKOFF_US = 800_000  # before a call is repeated; a quarter at first, doubling with each failure
 FIRST_CALL_INTERVAL_SHARE = 0.1  # of the longest poll interval: the first call falls within it
-MAX_FIRST_CALL_DELAY_US = 1_500_000  # but within this: it may be queued, turned away and queued once more
+MAX_FIRST_CALL_DELAY_US = 1_500_000  # at most this, as it may be queued, rejected and queued again
 
 
 class ListPolling:
@@ -34,10 +34,10 @@
         self.failures = 0
 
     def note_list(self, kind: ListKind) -> None:
-        """Note a list that has come; a cached one was not the list service's answer."""
+        """Note a list; a cached one schedules the first call, unless lists are pushed."""
         settings = self._context.settings
         if kind is ListKind.CACHED and not settings.endpoints_are_pushed:
-            # Many gateways that start together and call together would mostly be turned away.
+            # If many gateways started and called together, most calls would be rejected.
             interval_us = settings.max_poll_interval_us * FIRST_CALL_INTERVAL_SHARE
             self._call_after(self._random.random() * min(MAX_FIRST_CALL_DELAY_US, interval_us))
         else:
--- a/load_balancer/decisions/load_reports.py
+++ b/load_balancer/decisions/load_reports.py
@@ -1,6 +1,6 @@
-"""Load reports of the endpoints: what other gateways have sent to each, of which this one sees nothing.
+"""Load reports of the endpoints, which show the load from other gateways too.
 
-Without them many gateways, each with nothing in flight at an endpoint, would crowd it together.
+Without them many gateways, each with nothing in flight at an endpoint, would overload it together.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
         self.service_ms = 0.0
 
     def apply(self, endpoint: EndpointState, report: LoadReport, now_us: int) -> None:
-        """Take in an endpoint's report; unknown names and impossible values are left out."""
+        """Apply an endpoint's report; unknown names and values out of range are ignored."""
         for name, value in report:
             if name == "queue" and value >= 0.0:
                 endpoint.queue_length = value
--- a/load_balancer/decisions/outliers.py
+++ b/load_balancer/decisions/outliers.py
@@ -1,7 +1,7 @@
-"""What the outcome of an attempt says about its endpoint.
+"""Recording of outcomes, and detection of endpoints that are outliers.
 
-A failure counts against an endpoint as far as it is an outlier: not as far as the whole fleet fails alike,
-and not where it fails the requests of one class or tenant only.
+A failure counts against an endpoint only as far as its failure share exceeds that of the whole fleet, and not
+where it concerns the requests of one class or tenant only.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 def is_class_or_tenant_specific(recent: list[tuple[int, bool]], key: int) -> bool:
     """Return whether an endpoint's failures concern one class or tenant alone.
 
-    A limit on one tenant would otherwise cost all the others the endpoint, and its weight with it.
+    Otherwise a limit on one tenant would eject the endpoint and lower its weight for all the others.
 
     Args:
         recent: Breaker key and failure of the endpoint's last outcomes.
@@ -59,7 +59,7 @@
 
 
 class OutcomeRecorder:
-    """Enters outcomes in the breakers, the weights, the latency estimates and the concurrency limit."""
+    """Records outcomes in the breakers, the weights, the latency estimates and the concurrency limit."""
 
     __slots__ = ("_demand", "_limit", "_log", "_registry")
 
@@ -72,10 +72,10 @@
         self._log = log
 
     def record(self, request: Request, attempt: Attempt, event: AttemptEnded, now_us: int) -> None:
-        """Enter the outcome of an attempt."""
+        """Record the outcome of an attempt."""
         endpoint, outcome = attempt.endpoint, event.outcome
         slow_us = SLOW_LATENCY_FACTOR * request.expected_us
-        # What was given less time than a slow answer takes says nothing about the endpoint.
+        # A timeout shorter than a slow answer is no evidence about the endpoint.
         short_timeout = outcome is Outcome.TIMEOUT and event.latency_us < slow_us
         cancelled = outcome is Outcome.CANCELLED and not attempt.overdue
         if short_timeout or outcome is Outcome.NOT_SENT or cancelled:
@@ -85,7 +85,7 @@
                 if breaker is not None:
                     breaker.release_trial(trial_of)
             if short_timeout:
-                self._limit.adjust(request, event)  # no endpoint's fault, but all may be crowded
+                self._limit.adjust(request, event)  # not the endpoint's fault, but all may be overloaded
             return
         failed = outcome is not Outcome.OK
         slow = not failed and event.latency_us / max(1.0, request.expected_us) > SLOW_LATENCY_FACTOR
@@ -109,7 +109,7 @@
             breaker = endpoint.breakers[key]
             share = self._registry.failure_share(key, breaker) if failed else 0.0
             if specific and key == ALL_REQUESTS:
-                share = 1.0  # only a ring without a good answer opens it
+                share = 1.0  # only a ring of failures alone opens it
             changed = breaker.record(now_us, failed, trial_of, share)
             if changed is not None:
                 self._log_change(breaker, endpoint, request, changed, now_us)
--- a/load_balancer/decisions/priority_order.py
+++ b/load_balancer/decisions/priority_order.py
@@ -1,15 +1,15 @@
-"""The work asked for in order of priority: what is shed first when not all of it can be served."""
+"""The demand sorted by priority; under overload the lowest priority is shed first."""
 
 from __future__ import annotations
 
 from bisect import bisect_left
 from itertools import accumulate
 
-MAX_EXACT_PARTS = 8  # parts of the work up to which the order is made anew for each change
+MAX_EXACT_PARTS = 8  # parts of the work up to which the order is sorted again after each change
 
 
 class PriorityOrder:
-    """Parts of the work asked for, the least priority first.
+    """Parts of the demand, the lowest priority first.
 
     Attributes:
         at_change: Changes of the demand when the order was made.
@@ -31,7 +31,7 @@
         self.whole = self.amounts[-1] or 1.0
 
     def is_stale(self, changes: int) -> bool:
-        """Return whether to make the order anew: with many parts only after as many changes."""
+        """Return whether to sort again; with many parts, only after about as many changes."""
         return changes - self.at_change > max(0, self.parts - MAX_EXACT_PARTS)
 
     def share_below(self, priority: float) -> float:
--- a/load_balancer/decisions/rate_limited_log.py
+++ b/load_balancer/decisions/rate_limited_log.py
@@ -1,4 +1,4 @@
-"""Log events at a limited rate: a wide failure must not bury the lines about its beginning."""
+"""Log events at a limited rate: many events at once must not hide the first ones."""
 
 from __future__ import annotations
 
--- a/load_balancer/decisions/request.py
+++ b/load_balancer/decisions/request.py
@@ -9,7 +9,7 @@
 from load_balancer.decisions.latency import ClassState
 from load_balancer.decisions.settings_version import SettingsVersion
 
-OBJECTIVE_WAIT_SHARE = 0.98  # of the time to the objective that is waited for answers worth nothing later
+OBJECTIVE_WAIT_SHARE = 0.98  # of the time to the objective, waited for answers that have no value later
 
 
 @dataclass(slots=True, eq=False)
@@ -34,7 +34,7 @@
     Attributes:
         id: The caller's id.
         request_class: Its class.
-        settings_version: The version in force when it arrived, which holds to its end.
+        settings_version: The version in force when it arrived, used until it ends.
         breaker_key: Key of the breakers for its class and tenant.
         key: Affinity key, None without one.
         deadline_us: When its client gives up.
@@ -48,7 +48,7 @@
         in_flight: Attempts without an outcome.
         done: Whether it has had its final answer.
         streaming: Whether a streamed answer has begun.
-        moving: Whether an overdue attempt was cancelled for another one, which has been paid for.
+        moving: Whether an overdue attempt was cancelled for another, whose retry token has been withdrawn.
     """
 
     id: str
--- a/load_balancer/decisions/request_intake.py
+++ b/load_balancer/decisions/request_intake.py
@@ -1,4 +1,4 @@
-"""Turns an arrival into the record of a request, with all that holds to its end."""
+"""Creates the record of a request from its arrival event."""
 
 from __future__ import annotations
 
--- a/load_balancer/decisions/request_lifecycle.py
+++ b/load_balancer/decisions/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a request from its admission to its final answer: turns, attempts, retries and the answer."""
+"""The lifecycle of a request: queueing of ordered keys, attempts, retries and the final answer."""
 
 from __future__ import annotations
 
@@ -115,7 +115,7 @@
             self._advance_queue(released.pop())
 
     def _send(self, request: Request) -> bool:
-        """Send an attempt, if an endpoint may take one now, and watch over it if it may be repeated."""
+        """Send an attempt, if an endpoint may take one now; set a timer for when it is overdue."""
         if not self._dispatcher.send(request):
             return False
         overdue_us = self._context.now_us + int(OVERDUE_LATENCY_FACTOR * request.expected_us)
@@ -149,7 +149,8 @@
     def _wait_for_turn(self, request: Request) -> bool:
         """Queue a request of an ordered class; False if it may be sent at once.
 
-        What cannot be served in time after those before it is rejected while its client can still try again.
+        A request that could not be served in time after those before it is rejected at once, while its client
+        can still retry.
         """
         now_us = self._context.now_us
         ready_us = self.ordered_keys.enqueue(request, now_us)
--- a/load_balancer/decisions/retries.py
+++ b/load_balancer/decisions/retries.py
@@ -8,7 +8,7 @@
 from load_balancer.decisions.settings import DeduplicationScope, Idempotency
 
 RETRY_TOKENS_PER_REQUEST = 0.2  # tokens that a first try adds; a retry of what may have run takes one
-MAX_RETRY_TOKENS = 2.0  # a gateway is one of hundreds, whose saved-up retries come together
+MAX_RETRY_TOKENS = 2.0  # small, as hundreds of gateways may spend their tokens at once
 
 
 class OverdueReaction(Enum):
@@ -27,7 +27,7 @@
 
 
 def may_reject(request: Request) -> bool:
-    """Return whether the client may be told that trying again is harmless."""
+    """Return whether the request may be rejected, which tells its client that a retry is safe."""
     terms = request.request_class.terms
     if not request.may_have_run or terms.idempotency is Idempotency.IDEMPOTENT:
         return True
@@ -38,7 +38,7 @@
 
 
 class RetryBudget:
-    """Tokens for retries and hedged requests, so that an overload does not feed itself.
+    """Tokens for retries and hedged requests, so that retries do not amplify an overload.
 
     Attributes:
         tokens: Tokens left.
@@ -58,12 +58,12 @@
         self.tokens -= 1
 
     def has_token(self, shed_share: float) -> bool:
-        """Return whether a token is left; none is given out while load is shed."""
+        """Return whether a token is left; none may be used while load is shed."""
         return self.tokens >= 1 and shed_share <= 0.0
 
     def react_to_overdue(self, request: Request, shed_share: float) -> OverdueReaction:
         """Mark the attempts in flight as overdue; returns what to do about the request."""
-        late = [a for a in request.attempts if not a.ended and not request.done]
+        late = [attempt for attempt in request.attempts if not attempt.ended and not request.done]
         for attempt in late:
             attempt.overdue = True
         settings = request.settings_version.settings
@@ -80,7 +80,7 @@
 
         Args:
             request: The request.
-            needs_token: Whether the attempt has to be paid for.
+            needs_token: Whether the attempt takes a token.
             now_us: The time.
             shed_share: Share of the load that is shed.
         """
--- a/load_balancer/decisions/settings.py
+++ b/load_balancer/decisions/settings.py
@@ -1,7 +1,7 @@
-"""Settings: what an operator states of the service, as the decisions need it.
+"""Settings: the operator's description of the service, as the balancer uses it.
 
-Plain data without the wire's vocabulary; `load_balancer.config` reads it from JSON. Fields ending in `_us`
-are durations in whole microseconds. Fields marked "not used yet" arrive and are checked, but steer nothing.
+Plain data, independent of any file format; `load_balancer.config` reads it from JSON. Fields ending in `_us`
+are durations in whole microseconds. Fields marked "not used yet" are checked, but affect no decision.
 """
 
 from __future__ import annotations
@@ -57,15 +57,15 @@
     Attributes:
         latency_objective_us: An answer within this has the full priority weight.
         client_timeout_us: The client's timeout over all its tries.
-        priority_weight: What an answer in time is worth.
+        priority_weight: Value of an answer within the objective.
         late_weight_share: Share of the weight left after the objective, from 0 to 1.
         idempotency: What running a request twice would do.
         deduplication_scope: For an idempotency key: which endpoints drop repeats.
         deduplication_window_us: For an idempotency key: how long, from the sending of the first attempt.
         ordered: Requests with one key run one at a time, in order of arrival.
-        streamed: The answer is a stream. Steers nothing: the start of the stream is an event.
+        streamed: The answer is a stream. Affects no decision: the start of the stream is an event.
         latency_objective_stretch: The objective is later by this multiple of the work; not used yet.
-        name: The operator's name, empty for none.
+        name: The operator's name for it, empty for none.
 
     Raises:
         SettingsError: A number is not finite or out of its range.
@@ -97,7 +97,7 @@
     Attributes:
         quota_per_s: Requests a second over all gateways within its quota; 0 for no quota.
         share: Share of the service, from 0 to 1; not used yet.
-        name: The operator's name, empty for none.
+        name: The operator's name for it, empty for none.
 
     Raises:
         SettingsError: A number is not finite or out of its range.
@@ -165,7 +165,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """Everything an operator states.
+    """The settings of one gateway.
 
     Attributes:
         classes: The request classes; at least one.
@@ -179,7 +179,7 @@
         max_attempts: Attempts for one request at the most.
         may_cancel: Attempts in flight may be cancelled.
         may_hedge: Two attempts of one request may be in flight together.
-        load_dependent_weights: Listed weights sink with the load that the endpoint had a while ago.
+        load_dependent_weights: Listed weights fall with the endpoint's load, with a delay.
         key_affinity: An endpoint that served a key lately serves it for less work.
         endpoints_are_pushed: False: changes come only after `SubscribeEndpoints`.
         max_poll_interval_us: Longest time without a call to service discovery while not subscribed.
--- a/load_balancer/decisions/slow_start.py
+++ b/load_balancer/decisions/slow_start.py
@@ -11,7 +11,7 @@
 from load_balancer.decisions.request import Request
 from load_balancer.decisions.settings import Settings
 
-OVERLOAD_BUDGET_SHARE = 0.5  # of the overload budget that is planned with; the rest is for chance
+OVERLOAD_BUDGET_SHARE = 0.5  # of the overload budget that is used; the rest is a margin
 
 
 def capacity_share(endpoint: EndpointState, now_us: int, settings: Settings) -> float:
@@ -59,7 +59,7 @@
 
 
 def charge(endpoint: EndpointState, request: Request, now_us: int, settings: Settings) -> None:
-    """Enter the work of a request that is sent to an endpoint in its bucket, if it is in slow start."""
+    """Add the work of a request that is sent to an endpoint to its bucket, if it is in slow start."""
     if capacity_share(endpoint, now_us, settings) < 1.0:
         endpoint.slow_start_work_us += estimate_work_us(request)
 
@@ -67,8 +67,8 @@
 def estimate_work_us(request: Request) -> float:
     """Return the work of a request: the hint, or else between the unloaded and the smoothed latency.
 
-    The smoothed latency counts for no more than a slow answer's: in a jam each request would seem as long
-    as its wait, and the endpoints that start and could end the jam would be left idle.
+    The smoothed latency is capped at that of a slow answer: under overload it includes queueing, and starting
+    endpoints, which could relieve the overload, would be left idle.
     """
     if request.work_us:
         return float(request.work_us)
--- a/load_balancer/decisions/subset.py
+++ b/load_balancer/decisions/subset.py
@@ -15,13 +15,13 @@
 from load_balancer.decisions.settings import DeduplicationScope, Idempotency, Settings
 from load_balancer.decisions.slow_start import capacity_share
 
-MIN_SUBSET_SIZE = 3  # endpoints: few see enough outcomes each, enough outlive a bad third
+MIN_SUBSET_SIZE = 3  # endpoints: few enough to see many outcomes each, enough to survive faults
 SUBSET_SIZE_MEMORY = 0.98  # of the subset's extra size, left after each attempt
 MAX_RETRY_CANDIDATES = 64  # endpoints that the retry of a request with an idempotency key chooses among
 
 
 def is_silent(endpoint: EndpointState, now_us: int, overdue_us: float) -> bool:
-    """Return whether an attempt sent since the last answer is overdue: nothing more until there is one.
+    """Return whether an attempt sent since the last answer is overdue, so that nothing more may be sent.
 
     An attempt that is overdue while later ones are answered says nothing about its endpoint.
     """
--- a/load_balancer/decisions/weight_controller.py
+++ b/load_balancer/decisions/weight_controller.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-MIN_WEIGHT = 0.05  # also the least listed weight that is reckoned with
+MIN_WEIGHT = 0.05  # also the lower bound for listed weights
 MAX_WEIGHT = 1.0
 WEIGHT_INCREASE = 0.02  # added by a good answer
-WEIGHT_DECREASE_FACTOR = 0.7  # by which a failure or a slow answer multiplies
+WEIGHT_DECREASE_FACTOR = 0.7  # factor for a failure or a slow answer
 WEIGHT_UNIT = 2**57  # weights times this are whole numbers, whose sum is exact however often they change
 
 
--- a/load_balancer/gateway/__init__.py
+++ b/load_balancer/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The real gateway: sockets round one Balancer. It carries out what the balancer decides and adds nothing."""
+"""The network side of a gateway: sockets and timers that carry out the decisions of one Balancer."""
--- a/load_balancer/gateway/attempt_sender.py
+++ b/load_balancer/gateway/attempt_sender.py
@@ -1,4 +1,4 @@
-"""Attempts of clients' requests: each that the balancer asks for has exactly one outcome."""
+"""Sending of attempts; each `Send` action gets exactly one outcome."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
     Attributes:
         number: Which of its request's attempts it is, from 0.
-        sent_us: Reading of the clock as it was started.
+        sent_us: Time at which it was started, in microseconds.
     """
 
     request: PendingRequest
@@ -34,7 +34,7 @@
     """Sends attempts and reports their outcomes.
 
     Attributes:
-        reads_load_reports: Whether responses carry load reports that the balancer wants.
+        reads_load_reports: Whether to read load reports from responses.
     """
 
     def __init__(
@@ -53,8 +53,9 @@
         self._dispatch = dispatch
 
     def send(self, request: PendingRequest, action: Send) -> None:
-        """Start an attempt, unless its client has gone, its time is over or no further attempt is allowed."""
-        number, sent_us = len(request.attempts), self._clock.now_us()
+        """Start an attempt, unless its client has disconnected, its deadline has passed or none is left."""
+        number = len(request.attempts)
+        sent_us = self._clock.now_us()
         timeout_us = min(action.timeout_us, request.deadline_us - sent_us)
         exhausted = number >= request.settings_version.settings.max_attempts
         if not self._ledger.is_wanted(request) or timeout_us <= 0 or exhausted:
--- a/load_balancer/gateway/client_connection.py
+++ b/load_balancer/gateway/client_connection.py
@@ -16,7 +16,7 @@
 from load_balancer.gateway.request_parsing import RequestLookup, parse_request
 from load_balancer.gateway.socket_state import has_peer_closed
 
-PIPELINE_LIMIT = 8  # requests read ahead of their turn on one connection
+PIPELINE_LIMIT = 8  # requests queued on one connection
 READINESS_PATH = b"/health/ready"
 TOO_MANY_CONNECTIONS = text_response(503, "too many connections")
 
@@ -27,7 +27,7 @@
     Attributes:
         loop: Runs the connection.
         proxy: Takes its requests.
-        lookup: What requests may name.
+        lookup: Indexes of classes and tenants by name.
         draining: Whether the gateway is shutting down.
     """
 
@@ -37,7 +37,7 @@
     draining: bool
 
     def add(self, connection: ClientConnection) -> None:
-        """Take in a connection that has come up."""
+        """Register a connection that has been opened."""
 
     def discard(self, connection: ClientConnection) -> None:
         """Forget a connection that is closed."""
@@ -48,15 +48,15 @@
 
     Attributes:
         reader: Reads its requests.
-        transport: None until the connection is up.
-        waiting: Requests that have been read and whose turn has not come.
-        current: The request whose turn it is.
+        transport: None until the connection is open.
+        waiting: Requests that have been read and are queued.
+        current: The request being served.
         is_over_limit: Whether there are too many connections, so that every request is answered 503.
-        is_lingering: Whether the last answer is sent.
-        lingering_close: Ends the connection after that.
+        is_lingering: Whether the last answer has been written.
+        lingering_close: Closes the connection after that.
         is_closing_when_idle: Whether it is to be closed unless another request comes first.
-        is_write_paused: Whether the client does not read its answers.
-        last_activity: Loop time at which something was last read or answered.
+        is_write_paused: Whether the write buffer is full, as the client does not read its answers.
+        last_activity: Loop time of the last read or answer, in seconds.
     """
 
     def __init__(self, owner: ConnectionOwner) -> None:
@@ -95,8 +95,8 @@
         return self.current is None and not self.waiting and not self.is_lingering
 
     @property
-    def is_owed_answer(self) -> bool:
-        """Whether a request has been read whose answer is to be sent, and the client reads its answers."""
+    def has_pending_answer(self) -> bool:
+        """Whether a request awaits its answer; one that is queued counts only if the client reads answers."""
         return self.current is not None or (bool(self.waiting) and not self.is_write_paused)
 
     def has_disconnected(self) -> bool:
@@ -107,7 +107,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register with the server, which may close it at once."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's do not inherit from it
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transports do not inherit from it
         self._owner.add(self)
 
     def data_received(self, data: bytes) -> None:
@@ -118,24 +118,24 @@
             self._serve_next()
 
     def pause_writing(self) -> None:
-        """Serve no further request until the client reads its answers, which would pile up in memory.
+        """Stop serving requests until the client reads its answers, which would otherwise fill memory.
 
-        Requests are read all the same, up to a limit: else the client's close would go unnoticed.
+        Requests are still read, up to a limit, or else the client's close would go unnoticed.
         """
         self.is_write_paused = True
 
     def resume_writing(self) -> None:
-        """Go on serving."""
+        """Resume serving requests."""
         self.is_write_paused = False
         self._owner.loop.call_soon(self._serve_next)
 
     def eof_received(self) -> bool:
-        """Drop what is owed now: the transport closes only when earlier answers are flushed."""
+        """Drop pending requests now, as the transport closes only once earlier answers are flushed."""
         self._drop_requests()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Drop what is owed."""
+        """Drop pending requests."""
         del exc
         self._owner.discard(self)
         self._drop_requests()
@@ -150,7 +150,7 @@
     # RequestListener
 
     def head_received(self, request: IncomingRequest) -> None:
-        """Ask for the body where the client waits for that, unless another request comes first."""
+        """Send 100 Continue if the client waits for it and no earlier request is pending."""
         if self.current is None and not self.waiting and request.expects_continue:
             self.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
@@ -163,7 +163,7 @@
     # Requests, one at a time
 
     def reject_partial_request(self, rejection: HttpRequestError) -> None:
-        """Answer a request of which only a part has come, and then close."""
+        """Answer a request that has been received in part, and then close."""
         self.reader.fail(rejection)
         self._serve_next()
 
@@ -195,7 +195,7 @@
             self._pending = pending
 
     def _answer(self, incoming: IncomingRequest, response: Response) -> None:
-        if incoming is not self.current:  # its client has gone, or it has been answered
+        if incoming is not self.current:  # its client has disconnected, or it has been answered
             return
         # The connection is not closed while a request that has been read waits for its answer.
         ends_here = (self.is_over_limit or self._owner.draining) and not self.waiting
--- a/load_balancer/gateway/client_request.py
+++ b/load_balancer/gateway/client_request.py
@@ -1,4 +1,4 @@
-"""A client's request as the balancer and the endpoints need it."""
+"""A client's request, parsed and validated."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientRequest:
-    """A request that has been read and checked.
+    """A request that has been parsed and validated.
 
     Attributes:
         request_class: Index of its class in the settings.
-        timeout_us: How long the client waits for an answer.
-        waited_us: Time since its last byte was read.
+        timeout_us: How long the client waits for an answer, in microseconds.
+        waited_us: Time since its last byte was read, in microseconds.
         headers: The end-to-end headers, encoded as lines.
         key: Affinity key, if the target names one.
         work_us: The client's estimate of the work, if it gave one.
--- a/load_balancer/gateway/client_server.py
+++ b/load_balancer/gateway/client_server.py
@@ -38,9 +38,9 @@
     """Accepts connections from clients.
 
     Attributes:
-        lookup: What requests may name.
+        lookup: Indexes of classes and tenants by name.
         limit: How many connections are served at once.
-        connections: All that are open.
+        connections: All open connections.
         draining: Whether a graceful shutdown has begun.
         listener: None until the start.
     """
@@ -70,11 +70,11 @@
     # Limits
 
     def add(self, connection: ClientConnection) -> None:
-        """Take in a new connection, within the file descriptors that there are.
+        """Register a new connection, within the limit on file descriptors.
 
         Over the limit an idle connection is closed; where there is none, the new one is answered 503. Of
-        those that are answered 503, the oldest that has sent no request is closed first. So idle clients,
-        however many, do not keep a new one from asking whether the gateway is ready.
+        those that are answered 503, the oldest that has sent no request is closed first. So any number
+        of idle clients cannot block a readiness check on a new connection.
         """
         excess = len(self.connections) - self.limit
         if excess >= 0:
@@ -104,7 +104,7 @@
     # Timeouts
 
     def sweep(self) -> None:
-        """Close connections past their idle timeout; answer requests that have not come whole in time."""
+        """Close connections past their idle timeout; answer requests that were not received whole in time."""
         now = self.loop.time()
         for connection in list(self.connections):
             if connection.is_idle:
@@ -124,7 +124,7 @@
     # Graceful shutdown
 
     async def drain(self) -> None:
-        """Take what still comes, answer all of it and close."""
+        """Shut down gracefully: accept and answer requests for a grace period, then close."""
         self.draining = True
         await asyncio.sleep(ACCEPT_GRACE_S)
         for _ in range(2):  # turns of the loop, in which it accepts what has connected by now
@@ -139,7 +139,7 @@
             self.listener.close()
 
     async def close_connections(self) -> None:
-        """Close each connection once nothing is owed on it, and wait for the last."""
+        """Close each connection once no answer is pending on it, and wait for the last."""
         began = self.loop.time()
         while self.connections:
             waited_s = self.loop.time() - began
@@ -148,10 +148,10 @@
             await asyncio.sleep(SHUTDOWN_POLL_S)
 
     def _close_if_over(self, connection: ClientConnection, waited_s: float) -> None:
-        if waited_s > UNREAD_ANSWER_GRACE_S and not connection.is_owed_answer:
+        if waited_s > UNREAD_ANSWER_GRACE_S and not connection.has_pending_answer:
             connection.abort()
         elif connection.is_idle:
             connection.close_when_idle()
         elif connection.is_mid_only_request and waited_s > PARTIAL_REQUEST_GRACE_S:
-            # An answer instead of a close: the rest may have come by now, and would be lost.
+            # Answered rather than closed: the rest may have arrived by now and would be lost.
             connection.reject_partial_request(HttpRequestError(503, "ending; trying again is harmless"))
--- a/load_balancer/gateway/discovery.py
+++ b/load_balancer/gateway/discovery.py
@@ -21,7 +21,7 @@
 
 ENDPOINTS_PATH = "/registry/instances"
 LOGGED_MESSAGE_CHARACTERS = 200
-# A change must be known so long after discovery had it and could be reached, whatever call was failing. In
+# A change must be known this long after discovery had it and could be reached, whichever call failed. In
 # that time the pending call must time out, the wait before the next must pass (0.2 s after one failure, 0.4
 # s after two, 0.8 s after more, as the balancer sets it), and that call, which may queue and may be
 # rejected at the end, must be answered.
@@ -41,7 +41,7 @@
         loop: The loop on which the calls run.
         address: Where discovery accepts connections.
         names: The names of zones and endpoint kinds that the settings declare.
-        endpoints_are_pushed: Whether a watch is kept open without having been asked for.
+        endpoints_are_pushed: Whether a watch is always kept open, without a subscription.
         on_watch_event: Called with each list, change or failure, in order.
 
     Attributes:
@@ -100,7 +100,7 @@
         self._polls.add(call)
 
     def change_address(self, address: Address) -> None:
-        """Repeat at another address, at once, what was asked for at the old one.
+        """Repeat the open watch and polls at another address, at once.
 
         A watch is opened there also where the last one has failed and its retry is not yet due, as a change
         must be known 4 s after the address has changed.
--- a/load_balancer/gateway/discovery_call.py
+++ b/load_balancer/gateway/discovery_call.py
@@ -1,4 +1,4 @@
-"""One HTTP call to discovery: a watch, which goes on, or a poll, which reads the complete list once."""
+"""One HTTP call to discovery: a watch, whose response is a stream, or a poll of the complete list."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from load_balancer.gateway.discovery_messages import JsonStreamSplitter
 from load_balancer.gateway.event_log import log_event
 
-# A machine that is cut off loses the first packet, which the kernel sends again after 1 s.
+# Allows for one lost SYN packet, which the kernel sends again after 1 s.
 CONNECT_TIMEOUT_S = 1.2
 # A watch brings a line every 2 s; without a limit, one whose peer vanished would go unnoticed. Only the end
-# of a head, a message or an empty line and the first byte of a further message restart the time: a peer
-# that sends a byte now and then is as good as silent.
+# of a head, a message or an empty line and the first byte of a further message restart the timer, as a peer
+# that sends a byte now and then makes no progress.
 SILENCE_TIMEOUT_S = 3.0
 MAX_MESSAGE_BYTES = 8 * 1024 * 1024
 
@@ -32,7 +32,7 @@
         on_failure: Called at most once, when the call has ended without having been closed.
 
     Attributes:
-        is_closed: Whether the call is over; nothing is reported any more.
+        is_closed: Whether the call is over and reports nothing more.
     """
 
     def __init__(
@@ -85,7 +85,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the request."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports are no subclasses
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports do not inherit from it
         if self.is_closed:
             self._transport.abort()
             return
@@ -132,7 +132,7 @@
         raise NotImplementedError
 
     def _conclude(self) -> None:
-        """The body has ended."""
+        """Handle the end of the body."""
         raise NotImplementedError
 
 
@@ -155,7 +155,7 @@
         completed_before = splitter.completed
         begins_message = completed_before > 0 and not splitter.buffered_bytes
         for message in splitter.feed(body):
-            if not self.is_closed:  # the reading of the one before may have closed the call
+            if not self.is_closed:  # the message before may have closed the call
                 self._on_message(message)
         if not self.is_closed and (begins_message or splitter.completed > completed_before):
             self._restart_silence_timer()
--- a/load_balancer/gateway/event_dispatcher.py
+++ b/load_balancer/gateway/event_dispatcher.py
@@ -1,4 +1,4 @@
-"""Hands events to the balancer, one at a time, and its actions on to be executed."""
+"""Passes events to the balancer, one at a time, and executes the actions that it returns."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class EventDispatcher:
-    """Drives a balancer."""
+    """Queues events for a balancer and executes its actions."""
 
     def __init__(
         self,
@@ -25,7 +25,7 @@
         """Create a dispatcher.
 
         Args:
-            balancer: Decides.
+            balancer: Handles the events.
             clock: Read for each event.
             execute: Carries out an action.
             decision_failed: Takes an event and the exception that the balancer raised for it.
@@ -40,7 +40,7 @@
         self._is_running = False
 
     def dispatch(self, event: Event) -> None:
-        """Handle an event; one that comes of executing an action waits until that is over."""
+        """Handle an event; one raised while actions are executed is queued until those are done."""
         self._events.append(event)
         if self._is_running:
             return
--- a/load_balancer/gateway/event_log.py
+++ b/load_balancer/gateway/event_log.py
@@ -49,12 +49,12 @@
 
 
 def flush() -> None:
-    """Log the repeats that have been counted and not been logged yet."""
+    """Log the repeats that have been counted but not logged."""
     _repeat_counter.flush()
 
 
 def configure_logging(environ: Mapping[str, str]) -> None:
-    """Log to standard error from here on, what libraries log too."""
+    """Send this package's log events and those of libraries to standard error."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(make_formatter(environ))
     logging.getLogger(LOGGER_NAME).addHandler(handler)
--- a/load_balancer/gateway/health_checks.py
+++ b/load_balancer/gateway/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks of endpoints, which may bring load reports with them."""
+"""Health checks of endpoints, whose responses may carry load reports."""
 
 from __future__ import annotations
 
--- a/load_balancer/gateway/http_message.py
+++ b/load_balancer/gateway/http_message.py
@@ -83,7 +83,7 @@
     """A request that the gateway answers itself with an error status.
 
     Attributes:
-        response: What the client is sent.
+        response: The response for the client.
     """
 
     def __init__(self, status: int, reason: str, *headers: Header) -> None:
@@ -92,4 +92,4 @@
 
 
 class HttpResponseError(LoadBalancerError):
-    """A response of an endpoint that breaks the rules of HTTP or a limit."""
+    """A response of an endpoint that violates HTTP or exceeds a limit."""
--- a/load_balancer/gateway/incoming_request.py
+++ b/load_balancer/gateway/incoming_request.py
@@ -16,11 +16,11 @@
     """A request as it is read.
 
     Attributes:
-        received_at: Loop time of its last byte.
+        received_at: Loop time of its last byte, in seconds.
         body: The parts of its content.
         size: Bytes of the headers until the head is whole, then of the body.
         keep_alive: Whether another request may follow on the connection.
-        rejection: What it is answered in its turn, whatever else it says.
+        rejection: The error to answer it with, if it cannot be served.
     """
 
     received_at: float = 0.0
@@ -44,10 +44,10 @@
     """Receives what a reader has read."""
 
     def head_received(self, request: IncomingRequest) -> None:
-        """The head of a request is whole."""
+        """Handle the head of a request."""
 
     def request_received(self, request: IncomingRequest) -> None:
-        """A request is whole, or is to be answered as it is because its framing is lost."""
+        """Handle a complete request, or the rejection of one whose framing is lost."""
 
 
 class RequestReader:
@@ -82,18 +82,18 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self.stop()  # the request stands; what follows it is not HTTP
+            self.stop()  # the request is served; the bytes after it are not HTTP
         except httptools.HttpParserError:
             self.fail(HttpRequestError(400, "malformed request"))
         if self._head_bytes is not None and self._head_bytes > HEAD_LIMIT:
             self.fail(HttpRequestError(431, "head too long"))
 
     def stop(self) -> None:
-        """Ignore whatever still comes."""
+        """Ignore all further bytes."""
         self.is_stopped = True
 
     def fail(self, rejection: HttpRequestError) -> None:
-        """Answer the current request in its turn and read no other: where that begins is unknown."""
+        """Queue an error for the current request and read no other, as the framing is lost."""
         if not self.is_stopped:
             self.stop()
             self._listener.request_received(IncomingRequest(keep_alive=False, rejection=rejection))
@@ -112,7 +112,7 @@
         self._request.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Add a header; trailers are ignored, since they say nothing about what is asked."""
+        """Add a header; trailers are ignored."""
         if self._head_bytes is not None:
             self._request.headers.append((name, value))
             self._request.size += len(name) + len(value) + 4  # the colon, a space and the line's end
--- a/load_balancer/gateway/lingering_close.py
+++ b/load_balancer/gateway/lingering_close.py
@@ -1,4 +1,4 @@
-"""The end of a connection on which the client may still be sending."""
+"""Closing of a connection on which the client may still be sending."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         self._loop.call_later(LINGER_S, self.close_if_sent)
 
     def close_if_sent(self) -> None:
-        """Close, unless the client has yet to take in the answer itself."""
+        """Close, unless a part of the answer is still to be sent."""
         if self._transport.get_write_buffer_size() > 0:
             self._wait()
         else:
--- a/load_balancer/gateway/log_fields.py
+++ b/load_balancer/gateway/log_fields.py
@@ -1,4 +1,4 @@
-"""Fields of log events, with names in place of the balancer's numbers."""
+"""Fields of log events, with names in place of the balancer's ids."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     """Makes the fields of log events.
 
     Attributes:
-        names: Of the settings in force.
+        names: Names of the settings in force.
     """
 
     def __init__(
@@ -22,10 +22,10 @@
         settings_version: Callable[[], SettingsVersion],
         authority: Callable[[int], bytes],
     ) -> None:
-        """Create it.
+        """Create the resolver.
 
         Args:
-            names: Of the settings in force.
+            names: Names of the settings in force.
             settings_version: Returns the version in force.
             authority: Returns the address of an endpoint by its id, or nothing.
         """
@@ -41,11 +41,11 @@
             ("request_class", version.class_ids, names.classes),
             ("tenant", version.tenant_ids, names.tenants),
         )
-        for name, known, texts in tables:
+        for name, ids, id_names in tables:
             number = resolved.get(name)
-            if isinstance(number, int) and texts and number in known:
-                resolved[name] = texts[known.index(number)]
-            elif not texts:  # a deployment without tenants
+            if isinstance(number, int) and id_names and number in ids:
+                resolved[name] = id_names[ids.index(number)]
+            elif not id_names:  # a deployment without tenants
                 resolved.pop(name, None)
         endpoint_id = resolved.get("endpoint_id")
         if isinstance(endpoint_id, int) and (address := self._authority(endpoint_id)):
@@ -57,7 +57,7 @@
         return self.resolve(_request_fields(request.id, request).items())
 
     def of_subject(self, subject: object, pending: Mapping[str, PendingRequest]) -> dict[str, object]:
-        """Return the fields of what an event or an action is about, as far as they are known."""
+        """Return the fields of the request and the endpoint that an event or an action concerns, if known."""
         request_id = getattr(subject, "request_id", None)
         request = pending.get(request_id) if request_id is not None else None
         fields = {"request_id": request_id, "endpoint_id": getattr(subject, "endpoint_id", None)}
--- a/load_balancer/gateway/peers.py
+++ b/load_balancer/gateway/peers.py
@@ -40,10 +40,10 @@
         self.transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=listen)
 
     def send(self, data: bytes, to: Address | None) -> None:
-        """Send a message, if the channel is open and there is anybody to send it to.
+        """Send a message, if the channel is open and there is a receiver.
 
         Raises:
-            PeerMessageError: If it is too long.
+            PeerMessageError: The message is longer than `PEER_MESSAGE_LIMIT`.
         """
         if len(data) > PEER_MESSAGE_LIMIT:
             raise PeerMessageError(f"a message of {len(data)} bytes is too long")
--- a/load_balancer/gateway/proxy.py
+++ b/load_balancer/gateway/proxy.py
@@ -1,7 +1,7 @@
-"""Drives one Balancer: events go in, and the actions that come out are executed in order.
+"""Connects one Balancer to the network: passes it events and executes its actions in order.
 
-Nothing is decided here. Exceptions are contained: one of them ends neither the process nor, unanswered, the
-request that it concerns.
+Nothing is decided here. An exception from a decision or an action is logged, and the request that it concerns
+is answered with 500.
 """
 
 from __future__ import annotations
@@ -58,12 +58,12 @@
 
     Attributes:
         config: The configuration as last read.
-        settings: Those in force.
-        balancer: Decides.
-        ledger: The requests that have been accepted.
+        settings: The settings in force.
+        balancer: Makes all decisions.
+        ledger: The pending requests.
         upstream: Connections to endpoints.
-        discovery: Where endpoints come from.
-        peers: Messages of other gateways.
+        discovery: Client of service discovery.
+        peers: Messages to and from other gateways.
     """
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
@@ -112,7 +112,7 @@
         self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
     def sweep(self) -> None:
-        """Do what is due every second."""
+        """Do the periodic work, every `SWEEP_INTERVAL_S`."""
         self.upstream.sweep()
         self._log_suppressed()
         self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
@@ -147,7 +147,7 @@
     # Events in, actions out
 
     def dispatch(self, event: Event) -> None:
-        """Hand an event to the balancer and execute what it asks for."""
+        """Pass an event to the balancer and execute the actions that it returns."""
         self._dispatcher.dispatch(event)
 
     def _decision_failed(self, event: Event, error: Exception) -> None:
@@ -161,7 +161,7 @@
         self.ledger.answer_internal_error(getattr(action, "request_id", None))
 
     def execute(self, action: Action) -> None:
-        """Do what the balancer asks for."""
+        """Execute an action."""
         match action:
             case Send():
                 self._send(action)
@@ -217,7 +217,7 @@
         if suppressed:
             log_event("balancer.suppressed", suppressed=suppressed)
 
-    # What the network brings
+    # Events from the network
 
     def accept(
         self,
@@ -251,7 +251,7 @@
     """Return the answer to a request that is rejected.
 
     Args:
-        retry_after_us: When to try again; 0 or less if that is not said.
+        retry_after_us: Time after which to retry, in microseconds; 0 or less to omit the header.
     """
     headers = ((b"retry-after", b"%.3f" % (retry_after_us / 1e6)),) if retry_after_us > 0 else ()
     return text_response(503, "refused; trying again is harmless", *headers)
--- a/load_balancer/gateway/reload.py
+++ b/load_balancer/gateway/reload.py
@@ -1,4 +1,4 @@
-"""Reloading of the configuration: read beside the traffic, in small steps, and applied at once."""
+"""Reloading of the configuration: read in small steps between other work, and applied in one turn."""
 
 from __future__ import annotations
 
@@ -57,10 +57,10 @@
 
 
 class ConfigReloader:
-    """Reads the configuration file when asked to, one reading at a time, and applies what has changed.
+    """Reads the configuration file on request, once at a time, and applies what has changed.
 
-    Between two steps of a reading the loop does other work. Asked again during a reading, it reads once more
-    afterwards, so that the file's last content is what is in force in the end.
+    The loop does other work between two steps. A request during a reading causes another one afterwards, so
+    that the last content of the file is applied in the end.
 
     Args:
         config: The configuration in force.
@@ -89,7 +89,7 @@
         return self._task is not None
 
     def request_reload(self) -> None:
-        """Read the file, which has been replaced."""
+        """Request that the file be read again."""
         self._is_requested = True
         if self._task is None:
             self._task = self._proxy.loop.create_task(self._reload_while_requested())
@@ -108,7 +108,7 @@
             self._task = None
 
     async def _reload(self) -> None:
-        gc.disable()  # a full collection would visit all that is being read, in one step of some milliseconds
+        gc.disable()  # a full collection of the objects being read would block the loop for milliseconds
         try:
             await self._read_and_apply()
         except ConfigError as error:
@@ -140,7 +140,7 @@
     async def _apply_settings(self, config: Config) -> SettingsVersion:
         version = await run_cooperatively(next_version(self._proxy.settings_version, config.settings))
         lookup = await run_cooperatively(lookup_steps(config, self._client_server.lookup))
-        # In one turn of the loop: a request is read by the names and the settings of one version.
+        # Both in one turn of the loop, so that a request sees names and settings of one version.
         self._proxy.apply_settings(config, version)
         self._client_server.lookup = lookup
         return version
@@ -149,7 +149,7 @@
 def trim_heap() -> None:
     """Return freed memory to the system, where the C library can.
 
-    Otherwise the process would keep what one reading took for some milliseconds.
+    Otherwise the process would keep the memory that a reading used only briefly.
     """
     trim = getattr(ctypes.CDLL(None), "malloc_trim", None)
     if trim is not None:
--- a/load_balancer/gateway/request_ledger.py
+++ b/load_balancer/gateway/request_ledger.py
@@ -1,4 +1,4 @@
-"""The requests that have been accepted, and the one final answer that each of them is owed."""
+"""The accepted requests, each of which gets one final answer."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from load_balancer.gateway.http_message import Response, text_response
 from load_balancer.gateway.upstream_attempt import UpstreamAttempt
 
-# Taken off the client's timeout: the request was on its way before it came here, and the answer will be.
+# Subtracted from the client's timeout for the transit of the request and of its answer.
 TRANSIT_US = 4_000
 # After the balancer's own deadline and before the client's, for a request that nothing else has answered.
 LAST_RESORT_DELAY_US = 2_000
@@ -25,14 +25,14 @@
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request that is owed an answer, or whose attempts have not all ended.
+    """A request without a final answer, or with attempts in flight.
 
     Attributes:
         id: Unique for the lifetime of the process.
-        settings_version: What was in force as it came; holds until it is forgotten.
+        settings_version: The version in force when it arrived.
         names: The names of that version.
-        remaining_timeout_us: Until its deadline, as it came.
-        deadline_us: Reading of the clock at which its client gives it up, less the time for transit.
+        remaining_timeout_us: Time to its deadline when it arrived.
+        deadline_us: Time at which its client gives up, less the time for transit.
         send_answer: None once it has had its final answer or its client has gone.
         has_disconnected: Whether its client's connection has ended, read by the loop or not.
         last_resort: The timer that answers it if nothing else does.
@@ -54,7 +54,7 @@
 
     @property
     def is_closed(self) -> bool:
-        """Whether no answer is owed any more."""
+        """Whether it needs no answer any more: it was answered or its client has disconnected."""
         return self.send_answer is None
 
     def arrival(self) -> RequestArrived:
@@ -73,12 +73,12 @@
 
 
 class RequestLedger:
-    """Keeps account of the answers that are owed.
+    """Tracks the accepted requests until they are answered and their attempts have ended.
 
     Attributes:
         pending: Requests by their id.
-        unanswered: How many of them are owed an answer.
-        accepted: How many there have been.
+        unanswered: Number of requests without a final answer.
+        accepted: Number of requests accepted so far.
     """
 
     def __init__(
@@ -92,9 +92,9 @@
 
         Args:
             loop: Runs the timers of last resort.
-            clock: What deadlines are readings of.
+            clock: The clock of deadlines.
             dispatch: Takes the events that end requests.
-            log_fields: What is logged of a request.
+            log_fields: Returns the log fields of a request.
         """
         self.pending: dict[str, PendingRequest] = {}
         self.unanswered = 0
@@ -115,8 +115,8 @@
         """Add a request.
 
         Args:
-            client_request: What is asked.
-            settings_version: What is in force.
+            client_request: The request.
+            settings_version: The version in force.
             names: The names of that version.
             send_answer: Called exactly once, unless `client_disconnected` is called first.
             has_disconnected: Whether the client's connection has ended, read by the loop or not.
@@ -148,9 +148,9 @@
         return self.pending.get(request_id) if request_id is not None else None
 
     def is_wanted(self, request: PendingRequest) -> bool:
-        """Return whether the client still waits, asked before each attempt is written.
+        """Return whether the client still waits; checked before each attempt is written.
 
-        The client's socket itself is asked: a turn of the loop may take long, as for a list of thousands of
+        The client's socket itself is polled: a turn of the loop may take long, as for a list of thousands of
         endpoints, and timers and responses may be handled in it before the client's close is read.
         """
         if not request.is_closed and request.has_disconnected():
@@ -160,19 +160,19 @@
     def client_disconnected(self, request: PendingRequest) -> None:
         """Drop the answer of a request whose client has gone, and notify the balancer."""
         if not request.is_closed:
-            self._close_account(request)
+            self._close_request(request)
             self._dispatch(ClientDisconnected(request.id))
             self.forget_if_over(request)
 
     def answer(self, request: PendingRequest, response: Response) -> None:
-        """Send the final answer, if it is still owed."""
+        """Send the final answer, if it is still pending."""
         send_answer = request.send_answer
         if send_answer is not None:
-            self._close_account(request)
+            self._close_request(request)
             send_answer(response)
 
     def answer_by_id(self, request_id: str, response: Response) -> None:
-        """Send the final answer to a request, if it is known and the answer still owed."""
+        """Send the final answer to a request, if it is known and the answer still pending."""
         request = self.pending.get(request_id)
         if request is not None:
             self.answer(request, response)
@@ -191,7 +191,7 @@
             self._answer_and_drop(request, text_response(504, "out of time"))
 
     def forget_if_over(self, request: PendingRequest) -> None:
-        """Forget a request that is owed no answer and has no attempt in flight."""
+        """Forget a request that needs no answer and has no attempt in flight."""
         if request.is_closed and request.attempts_in_flight == 0:
             self.pending.pop(request.id, None)
 
@@ -201,7 +201,7 @@
             self._dispatch(ClientDisconnected(request.id))
             self.forget_if_over(request)
 
-    def _close_account(self, request: PendingRequest) -> None:
+    def _close_request(self, request: PendingRequest) -> None:
         request.send_answer = None
         self.unanswered -= 1
         if request.last_resort is not None:
--- a/load_balancer/gateway/request_parsing.py
+++ b/load_balancer/gateway/request_parsing.py
@@ -1,4 +1,4 @@
-"""From the headers of a request to what the balancer and the endpoints need of it."""
+"""Validation of a request's target and headers, and its conversion to a `ClientRequest`."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestLookup:
-    """Tables to look up what requests name.
+    """Tables from the names in requests to indexes in the settings.
 
     Attributes:
-        config: What the tables are made of.
+        config: The configuration that the tables were made from.
         classes: Index in the settings by class name.
         tenants: Index in the settings by tenant name.
     """
@@ -39,8 +39,8 @@
     """Make the tables in steps, between which the event loop may do other work.
 
     Args:
-        config: What to make them of.
-        previous: Earlier ones; a table of the same names is taken from there.
+        config: The configuration to make them from.
+        previous: Earlier tables; one with the same names is reused.
     """
     names = config.names
     if previous is not None and names.classes is previous.config.names.classes:
@@ -64,15 +64,15 @@
 
 
 def parse_request(incoming: IncomingRequest, lookup: RequestLookup, now: float) -> ClientRequest:
-    """Check a request and return what is needed of it.
+    """Validate a request and return its parsed form.
 
     Args:
         incoming: The request.
-        lookup: What it may name.
+        lookup: Indexes of classes and tenants by name.
         now: The loop's time, in seconds.
 
     Raises:
-        HttpRequestError: If something is wrong with it.
+        HttpRequestError: The request is malformed, or names an unknown class or tenant.
     """
     headers = _headers_by_name(incoming.headers)
     request_class = _request_class(incoming.target, headers, lookup)
@@ -143,7 +143,7 @@
 
 
 def _end_to_end(headers: list[Header], connection: bytes) -> bytes:
-    """Return the end-to-end headers as lines: none of one connection, none that Connection names."""
+    """Return the end-to-end headers as lines, without hop-by-hop headers and those that Connection names."""
     left_out = HOP_BY_HOP_HEADERS.union(name.strip().lower() for name in connection.split(b","))
     return b"".join(b"%b: %b\r\n" % header for header in headers if header[0].lower() not in left_out)
 
--- a/load_balancer/gateway/socket_state.py
+++ b/load_balancer/gateway/socket_state.py
@@ -1,4 +1,4 @@
-"""What a socket holds at this moment, whether or not the event loop has read it."""
+"""The current state of a socket, polled without waiting for the event loop."""
 
 from __future__ import annotations
 
--- a/load_balancer/gateway/upstream_attempt.py
+++ b/load_balancer/gateway/upstream_attempt.py
@@ -24,8 +24,8 @@
 
     Attributes:
         payload: The request's bytes.
-        is_wanted: Whether it should still be sent; asked when a connection that took time has come up.
-        connection: What it is sent on, once that is known.
+        is_wanted: Returns whether it should still be sent; checked once a new connection is open.
+        connection: The connection that it is sent on; None before that is chosen.
         timer: Ends it with a time-out.
         written: Whether its last byte has left the process, so that it may have run.
         done: Whether its outcome is decided.
@@ -68,7 +68,7 @@
         self._end_without_response(Outcome.CONNECT_FAILED if timed_out_unsent else outcome)
 
     def abandon_unless_written(self) -> None:
-        """Never send what has not been sent, also where cancelling is not allowed: its request is over."""
+        """Abandon an attempt that has not been sent; allowed even where cancelling is not."""
         if not self.written:
             self.abandon(Outcome.NOT_SENT)
 
--- a/load_balancer/gateway/upstream_connection.py
+++ b/load_balancer/gateway/upstream_connection.py
@@ -36,9 +36,9 @@
 
     Attributes:
         owner: The pool that it belongs to.
-        attempt: What it carries, also while it is coming up.
-        transport: None until it is up.
-        idle_since: Loop time of the end of its last attempt.
+        attempt: The attempt that it carries or that waits for it to open; None if it is idle.
+        transport: None until it is open.
+        idle_since: Loop time of the end of its last attempt, in seconds.
     """
 
     def __init__(self, owner: ConnectionOwner, attempt: UpstreamAttempt) -> None:
@@ -106,7 +106,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Write the attempt that waited for the connection, if it is still wanted."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's do not inherit from it
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transports do not inherit from it
         # With no room in the buffer, pause_writing and resume_writing say exactly when bytes are held back.
         self.transport.set_write_buffer_limits(high=0)
         attempt = self.attempt
@@ -133,12 +133,12 @@
             attempt.written = False
 
     def pause_writing(self) -> None:
-        """A part of the request is held back in the process."""
+        """Note that a part of the request is still buffered in the process."""
         if self.attempt is not None:
             self.attempt.written = False
 
     def resume_writing(self) -> None:
-        """All of the request has left the process."""
+        """Note that all of the request has left the process."""
         if self.attempt is not None:
             self.attempt.written = True
 
@@ -167,7 +167,7 @@
             self.attempt.connection_lost()
 
     def _end_attempt(self, attempt: UpstreamAttempt) -> None:
-        """Pass the response on, now that the parser has read all there was."""
+        """Report the complete response, and release or close the connection."""
         response = self._response
         response.status = self._parser.get_status_code()
         response.body = b"".join(self._chunks)
--- a/load_balancer/gateway/upstream_pool.py
+++ b/load_balancer/gateway/upstream_pool.py
@@ -1,4 +1,4 @@
-"""Keep-alive connections to the endpoints that discovery has named."""
+"""Pools of keep-alive connections to the listed endpoints."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
     Attributes:
         now: The loop's clock, in seconds.
-        connect_timeout_s: Until a connection that has not come up is given up.
+        connect_timeout_s: Timeout for opening a connection.
         idle_timeout_s: How long a connection may stand idle.
         reuse_delay_s: Until a connection that has become idle may be used again.
     """
@@ -93,9 +93,9 @@
             self.idle.remove(connection)
 
     def retire(self) -> None:
-        """Close what has not been used: the endpoint drains, is gone or has moved.
+        """Close unused connections, as the endpoint drains, is gone or has another address.
 
-        Attempts that wait for a connection end now, while there is time to try another endpoint.
+        Attempts that wait for a connection fail now, while there is time to try another endpoint.
         """
         for connection in [c for c in self.open_connections if c.owner is self and c.is_unused]:
             connection.fail()
@@ -182,9 +182,9 @@
         Args:
             endpoint_id: Where it goes.
             payload: The request's bytes.
-            timeout_s: Until it is given up.
+            timeout_s: Timeout of the attempt, in seconds.
             on_end: Called exactly once, with the outcome and the response if there is one.
-            is_wanted: Whether to send it still, once a new connection has come up.
+            is_wanted: Returns whether to send it still, once a new connection is open.
         """
         attempt = UpstreamAttempt(self._loop, payload, on_end, is_wanted)
         endpoint = self.endpoints.get(endpoint_id)
--- a/load_balancer/simulator/__init__.py
+++ b/load_balancer/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on the simulator's wire: `python -m load_balancer.simulator`."""
+"""Runs balancers over the simulator's text protocol: `python -m load_balancer.simulator`."""
--- a/load_balancer/simulator/__main__.py
+++ b/load_balancer/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""Run balancers on the simulator's wire, from standard input to standard output."""
+"""Run balancers over the simulator's text protocol, from standard input to standard output."""
 
 from load_balancer.simulator.adapter import main
 
--- a/load_balancer/simulator/adapter.py
+++ b/load_balancer/simulator/adapter.py
@@ -162,7 +162,7 @@
 
 def main() -> int:
     """Run the adapter on the standard streams; returns the exit code."""
-    gc.freeze()  # what the imports made is never garbage
+    gc.freeze()  # exempts imported modules from collections
     if isinstance(sys.stdin, io.TextIOWrapper):
         sys.stdin.reconfigure(encoding="utf-8", errors="replace", newline="\n")
     SimulatorAdapter(sys.stdin, sys.stdout, sys.stderr).run()
--- a/load_balancer/simulator/codec.py
+++ b/load_balancer/simulator/codec.py
@@ -61,7 +61,9 @@
     Reply,
 )
 
-LAST_FIELD = {Message.INSTANCE_STARTED: Field.SETTINGS}  # a field that takes the rest of the line, spaces too
+LAST_FIELD = {
+    Message.INSTANCE_STARTED: Field.SETTINGS
+}  # a field that takes the rest of the line, with its spaces
 
 
 def split_line(line: str) -> tuple[str, dict[str, str]]:
@@ -193,7 +195,7 @@
     Message.HEALTH_CHECK_ENDED: _parse_health_check_ended,
     Message.PEER_MESSAGE_RECEIVED: _parse_peer_message_received,
 }
-"""What makes an event of a line's fields, by message name; each may raise WireFormatError."""
+"""Parsers from a line's fields to an event, by message name; each may raise WireFormatError."""
 
 
 def format_action(action: Action) -> str:
--- a/load_balancer/simulator/fields.py
+++ b/load_balancer/simulator/fields.py
@@ -73,12 +73,12 @@
 
 
 def flag_field(fields: Fields, name: str) -> bool:
-    """Return whether a flag is set; one that is missing is not."""
+    """Return whether a flag is set; a missing one is not set."""
     return fields.get(name) == TRUE
 
 
 def term_field(fields: Fields, name: str, terms: Mapping[str, _Term]) -> _Term:
-    """Return the term that a table has for the word in a field.
+    """Return the value that a table maps the word in a field to.
 
     Raises:
         WireFormatError: The field is missing, or its word is not in the table.
