--- a/load_balancer/config/comparison.py
+++ b/load_balancer/config/comparison.py
@@ -66,7 +66,8 @@
     """
     old_version = initial_version(old.config.settings)
     new_version = run_to_completion(next_version(old_version, new.config.settings))
-    old_settings, new_settings = dict(old.document["settings"]), dict(new.document["settings"])
+    old_settings = dict(old.document["settings"])
+    new_settings = dict(new.document["settings"])
     for title, key, ids in (("routes", CLASSES_KEY, _class_ids), ("tenants", TENANTS_KEY, _tenant_ids)):
         item_changes = _compare_items(
             old_settings.pop(key), new_settings.pop(key), ids(old_version), ids(new_version)
--- a/load_balancer/config/config_reader.py
+++ b/load_balancer/config/config_reader.py
@@ -47,7 +47,8 @@
     cached_endpoint_list = yield from _read_endpoint_list(model.known, previous is not None, errors)
     settings_digest = yield from _digest(model.settings)
     if previous is not None and settings_digest == previous.settings_digest:
-        settings, names = previous.settings, previous.names
+        settings = previous.settings
+        names = previous.names
     else:
         settings, names = yield from _read_named_settings(model.settings, previous, errors)
     errors.raise_if_any()
--- a/load_balancer/config/settings_conversion.py
+++ b/load_balancer/config/settings_conversion.py
@@ -69,7 +69,8 @@
     Raises:
         SettingsError: The values are out of range or contradict each other.
     """
-    capabilities, contract = model.capabilities, model.contract
+    capabilities = model.capabilities
+    contract = model.contract
     return Settings(
         classes=classes,
         objective=_to_objective(model.objective),
--- a/load_balancer/config/settings_reader.py
+++ b/load_balancer/config/settings_reader.py
@@ -142,7 +142,8 @@
     """Check rules that involve several fields."""
     if not model.classes:
         errors.add(join_path(path, CLASSES_KEY), "expected at least one")
-    index, gateways = int(model.gateway_index), int(model.gateways)
+    index = int(model.gateway_index)
+    gateways = int(model.gateways)
     if model.gateway_index >= model.gateways:
         message = f"expected a number below {GATEWAYS_KEY}, {gateways}, got {index}"
         errors.add(join_path(path, GATEWAY_INDEX_KEY), message)
--- a/load_balancer/decisions/admission.py
+++ b/load_balancer/decisions/admission.py
@@ -65,7 +65,7 @@
         limit = self._limit
         return min(MAX_SHED_SHARE, max(0.0, self.load_shed_share, limit.in_flight / limit.limit - 1.0))
 
-    def forget_order(self) -> None:
+    def invalidate_order(self) -> None:
         """Discard the order by priority, so that it is sorted again before its next use."""
         self.order = PriorityOrder(-1, [])
 
@@ -101,7 +101,8 @@
 
     def sort_demand(self) -> None:
         """Sort the recent demand by priority."""
-        demand, by_id = self._demand, self._context.classes.by_id
+        demand = self._demand
+        by_id = self._context.classes.by_id
         demand_by_class = demand.within_quota
         total = sum(demand_by_class.values()) or 1.0
         weighted = sum(
@@ -122,7 +123,8 @@
 
     def priority(self, request_class: ClassState, over_quota: bool) -> float:
         """Return what the objective gains from each unit of endpoint time for a class."""
-        settings, demand = self._context.settings, self._demand
+        settings = self._context.settings
+        demand = self._demand
         objective = settings.objective
         unit_us = 1.0 if settings.weight_by_work else request_class.unloaded_us
         weight = objective.overall + objective.worst_window
--- a/load_balancer/decisions/balancer.py
+++ b/load_balancer/decisions/balancer.py
@@ -156,7 +156,8 @@
             self._on_settings_changed(event.version)
 
     def _on_request(self, event: RequestArrived) -> None:
-        context, requests = self.context, self.lifecycle.requests
+        context = self.context
+        requests = self.lifecycle.requests
         if event.request_id in requests:
             self.log.write(context.now_us, "request.duplicate_id", request_id=event.request_id)
             return
@@ -216,11 +217,12 @@
             return
         self.breakers.purge((context.settings_version, version))
         context.change_settings(version, context.classes.by_id)
-        self.demand.keep(context.classes.by_id)
-        self.admission.forget_order()
+        self.demand.retain(context.classes.by_id)
+        self.admission.invalidate_order()
 
     def _on_endpoint_list(self, event: EndpointListReceived) -> None:
-        context, endpoints = self.context, self.endpoints
+        context = self.context
+        endpoints = self.endpoints
         if event.kind is ListKind.ERROR:
             self.log.write(context.now_us, "endpoint_list.unavailable")
             self.polling.note_failure()
--- a/load_balancer/decisions/circuit_breaker.py
+++ b/load_balancer/decisions/circuit_breaker.py
@@ -4,9 +4,10 @@
 it is open. After a cooldown it is half-open and lets `HALF_OPEN_TRIALS` attempts through, whose outcomes
 close it or open it again.
 
-Breakers exist only for what has been met: in a large fleet the pairs of class and tenant at every endpoint
-are too many to hold. A missing breaker reads as a new one, which is closed and empty. The registry keeps
-totals over all breakers as they change, so that no decision walks over endpoints, classes or tenants.
+A breaker is created at the first outcome for its key: in a large fleet the pairs of class and tenant at every
+endpoint are too many to hold. A missing breaker is equivalent to a new one, which is closed and empty. The
+registry updates totals over all breakers as they change, so that no decision visits every endpoint, class or
+tenant.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 MAX_COOLDOWN_US = 8_000_000
 BREAKER_EXPIRY_US = 60_000_000  # after its last outcome a closed breaker is dropped
 ALL_REQUESTS = 0  # key of the breaker for all outcomes of an endpoint
-KEYS_PER_CLASS = 2**32  # breaker keys set aside for the tenants of one class
+KEYS_PER_CLASS = 2**32  # breaker keys reserved for the tenants of one class
 
 
 def breaker_key(class_id: int, tenant_id: int) -> int:
@@ -39,7 +40,7 @@
 
 
 class BreakerState(Enum):
-    """Whether attempts are let through."""
+    """Whether a breaker lets attempts through."""
 
     CLOSED = "closed"
     OPEN = "open"
@@ -55,9 +56,9 @@
         failures: Failures in the ring.
         state: Closed, open or half-open.
         last_outcome_us: When the last outcome was recorded.
-        open_until_us: When the present cooldown ends.
-        cooldown_us: Length of the present or the next cooldown.
-        half_open_spell: Number of the present half-open spell; an attempt is a trial if it was sent in it.
+        open_until_us: When the current cooldown ends.
+        cooldown_us: Length of the current or the next cooldown, in microseconds.
+        half_open_spell: Number of the current half-open period; attempts sent within it are its trials.
         trials_in_flight: Trials without an outcome so far.
         trial_results: For each trial with an outcome, whether it failed.
     """
@@ -109,7 +110,7 @@
         return self.half_open_spell
 
     def release_trial(self, trial_of: int) -> None:
-        """Give back the place of a trial whose outcome says nothing about the endpoint."""
+        """Release a trial whose outcome is no evidence about the endpoint, so that another may follow."""
         if self.state is BreakerState.HALF_OPEN and trial_of == self.half_open_spell:
             self.trials_in_flight -= 1
 
@@ -119,10 +120,10 @@
         """Record an outcome.
 
         Args:
-            now_us: The time.
+            now_us: The time in microseconds.
             failed: Whether the attempt failed.
             trial_of: What `take_trial` returned when the attempt was sent.
-            fleet_failure_share: Share of failures, from 0 to 1, that this endpoint is not to blame for.
+            fleet_failure_share: Expected share of failures from causes other than this endpoint, from 0 to 1.
 
         Returns:
             The new state if the outcome opened or closed the breaker.
@@ -148,10 +149,12 @@
 
     def _record_trial(self, now_us: int, failed: bool, trial_of: int) -> BreakerState | None:
         if trial_of != self.half_open_spell:
-            return None  # in half-open only the trials' outcomes count
+            return None  # while half-open, only the outcomes of trials count
         self.trials_in_flight -= 1
         self.trial_results += (failed,)
-        if sum(self.trial_results) / HALF_OPEN_TRIALS >= FAILURE_THRESHOLD:  # whatever the rest will be
+        if (
+            sum(self.trial_results) / HALF_OPEN_TRIALS >= FAILURE_THRESHOLD
+        ):  # whatever the outcomes of the rest
             self.cooldown_us = min(2 * self.cooldown_us, MAX_COOLDOWN_US)
             return self._open(now_us)
         return self._close() if len(self.trial_results) == HALF_OPEN_TRIALS else None
@@ -202,7 +205,7 @@
         return breaker
 
     def retire(self) -> None:
-        """Leave the registry, as the endpoint is listed no more; outcomes still to come count here alone."""
+        """Leave the registry, as the endpoint was removed; later outcomes no longer count in its totals."""
         spare = BreakerRegistry(self.registry.half_open_spells)
         for breaker in self.values():
             self.registry.remove(breaker)
@@ -234,12 +237,12 @@
         self.not_closed: dict[CircuitBreaker, None] = {}
 
     def insert(self, breaker: CircuitBreaker) -> None:
-        """Count a breaker, as the one with the latest outcome."""
+        """Add a breaker to the totals, as the one with the latest outcome."""
         (self.closed if breaker.state is BreakerState.CLOSED else self.not_closed)[breaker] = None
         self._count(breaker, 1)
 
     def remove(self, breaker: CircuitBreaker) -> None:
-        """Stop counting a breaker, before it changes."""
+        """Take a breaker out of the totals, before it changes."""
         self.closed.pop(breaker, None)
         self.not_closed.pop(breaker, None)
         self._count(breaker, -1)
@@ -265,7 +268,8 @@
         """Return the share of failures in the closed rings of a key but one; 0 where there are none."""
         outcomes, failures = self.totals.get(key, (0, 0))
         if excluded is not None and excluded.state is BreakerState.CLOSED and excluded.registry is self:
-            outcomes, failures = outcomes - len(excluded.ring), failures - excluded.failures
+            outcomes -= len(excluded.ring)
+            failures -= excluded.failures
         return failures / outcomes if outcomes else 0.0
 
     def _count(self, breaker: CircuitBreaker, sign: int) -> None:
--- a/load_balancer/decisions/concurrency_limit.py
+++ b/load_balancer/decisions/concurrency_limit.py
@@ -20,15 +20,15 @@
     Attributes:
         limit: The limit, in requests.
         in_flight: Attempts in flight everywhere.
-        probed: Whether a long answer has come since the start. Before that the limit rises faster.
+        has_seen_slow_answer: Whether any answer has been slow so far; before that the limit rises faster.
     """
 
-    __slots__ = ("in_flight", "limit", "probed")
+    __slots__ = ("has_seen_slow_answer", "in_flight", "limit")
 
     def __init__(self) -> None:
         self.limit = INITIAL_LIMIT
         self.in_flight = 0
-        self.probed = False
+        self.has_seen_slow_answer = False
 
     def note_sent(self) -> None:
         """Count one more attempt in flight."""
@@ -44,28 +44,29 @@
         if outcome in (Outcome.OK, Outcome.REJECTED) and dict(event.load_report).get("queue", 0.0) >= 1.0:
             # Work is queued at the endpoint: an overload, not a limit on one class or tenant. Full endpoints
             # reject at once, so that little is in flight and latency shows the overload only seconds later.
-            self.step(True, most=1.0)
+            self.step(True, max_in_flight_multiple=1.0)
             return
         if outcome not in (Outcome.OK, Outcome.TIMEOUT):
             return
-        long = self._waited_too_long(request, event)
-        if outcome is Outcome.OK or long:  # a short time-out is no evidence either way
-            self.step(long)
+        slow = self._waited_too_long(request, event)
+        if outcome is Outcome.OK or slow:  # a short time-out is no evidence either way
+            self.step(slow)
 
-    def step(self, long: bool, most: float = 2.0) -> None:
-        """Lower the limit after a long answer; raise it after a prompt one if much of it is in use.
+    def step(self, slow: bool, max_in_flight_multiple: float = 2.0) -> None:
+        """Lower the limit after a slow answer; raise it after a prompt one if much of it is in use.
 
         Attempts sent before a step are still slow after it. Steps are small relative to the limit, so that
         all attempts in flight together lower it by a fraction only. With a low limit there are few answers,
-        so that each counts for more. A slow answer caps the limit at `most` times the number in flight.
+        so that each counts for more. A slow answer caps the limit at `max_in_flight_multiple` times the
+        number in flight.
         """
         step = max(LIMIT_STEP, min(1.0, 1.0 / self.limit))
-        if long:
-            bounded = min(self.limit, most * (self.in_flight + 1))
+        if slow:
+            bounded = min(self.limit, max_in_flight_multiple * (self.in_flight + 1))
             self.limit = max(MIN_LIMIT, bounded - LIMIT_DECREASE_STEPS * step)
-            self.probed = True
+            self.has_seen_slow_answer = True
         elif self.in_flight + 1 >= self.limit * LIMIT_IN_USE_SHARE:
-            self.limit += step if self.probed else 1.0
+            self.limit += step if self.has_seen_slow_answer else 1.0
 
     def _waited_too_long(self, request: Request, event: AttemptEnded) -> bool:
         """Return whether an attempt took longer than tolerated beyond the unloaded latency.
@@ -74,7 +75,8 @@
         tolerated wait is at least that of a slow answer, as work varies by itself.
         """
         request_class = request.request_class
-        terms, unloaded_us = request_class.terms, request_class.unloaded_us
+        terms = request_class.terms
+        unloaded_us = request_class.unloaded_us
         given_us = request.deadline_us - request.attempts[event.attempt].sent_us
         slack_us = min(given_us, terms.latency_objective_us) - unloaded_us
         waited_us = event.latency_us - unloaded_us * request.size
--- a/load_balancer/decisions/demand.py
+++ b/load_balancer/decisions/demand.py
@@ -77,7 +77,7 @@
         """Count a change to the unloaded latency of a class, by which work is measured."""
         self.changes += 1
 
-    def keep(self, classes: Mapping[int, ClassState]) -> None:
+    def retain(self, classes: Mapping[int, ClassState]) -> None:
         """Drop the counts of all classes but these."""
         for counts in (self.within_quota, self.over_quota, self.served):
             for class_id in counts.keys() - classes.keys():
--- a/load_balancer/decisions/dispatcher.py
+++ b/load_balancer/decisions/dispatcher.py
@@ -46,9 +46,11 @@
         return overload_budget_us(self.subset.size, len(self._endpoints.by_rank), self._context.settings)
 
     def pick(self, request: Request) -> EndpointState | None:
-        """Return the endpoint that an attempt would be sent to now, None where there is none."""
-        context, by_rank = self._context, self._endpoints.by_rank
-        now_us, settings = context.now_us, context.settings
+        """Return an endpoint for an attempt at this time, or None if none may take it."""
+        context = self._context
+        by_rank = self._endpoints.by_rank
+        now_us = context.now_us
+        settings = context.settings
         overdue_us = OVERDUE_LATENCY_FACTOR * context.classes.slowest.smoothed_us
         if request.attempts:
             candidates = self.subset.select_for_retry(by_rank, request, now_us, overdue_us, settings)
@@ -76,16 +78,16 @@
         self._actions.append(Send(request.id, endpoint.endpoint.id, timeout_us))
         return True
 
-    def cancel(self, request: Request, wanted: int | None = None) -> None:
-        """Cancel a request's attempts in flight, but for one that is wanted, if the settings allow it."""
+    def cancel(self, request: Request, kept_attempt: int | None = None) -> None:
+        """Cancel a request's attempts in flight, except `kept_attempt`, if the settings allow it."""
         if not request.settings_version.settings.may_cancel:
             return
         for number, attempt in enumerate(request.attempts):
-            if not attempt.ended and number != wanted:
+            if not attempt.ended and number != kept_attempt:
                 self._actions.append(Cancel(request.id, number))
 
     def release(self, request: Request, attempt: Attempt, outcome: Outcome) -> None:
-        """Take an attempt that has ended out of what is in flight."""
+        """Mark an attempt as ended, and count one less in flight."""
         attempt.ended = True
         may_have_run_if_rejected = request.settings_version.settings.rejected_may_have_run
         rejected_after_run = outcome is Outcome.REJECTED and may_have_run_if_rejected
--- a/load_balancer/decisions/endpoint_list.py
+++ b/load_balancer/decisions/endpoint_list.py
@@ -54,7 +54,9 @@
         cooldowns = []
         for endpoint in self.by_id.values():
             until = [
-                b.open_until_us for b in breakers_for(endpoint, key) if b and b.state is BreakerState.OPEN
+                breaker.open_until_us
+                for breaker in breakers_for(endpoint, key)
+                if breaker and breaker.state is BreakerState.OPEN
             ]
             cooldowns.append(max(until, default=now_us) - now_us)
         return min(cooldowns, default=0)
@@ -76,14 +78,14 @@
             removed = [self._remove(endpoint_id) for endpoint_id in self.by_id.keys() - listed]
         added: list[EndpointState] = []
         for endpoint in event.endpoints:
-            known = self.by_id.get(endpoint.id)
+            listed_before = self.by_id.get(endpoint.id)
             gone = endpoint.status is EndpointStatus.GONE
-            restarted = known is not None and known.endpoint.started_us != endpoint.started_us
-            if known is not None and (gone or restarted):
+            restarted = listed_before is not None and listed_before.endpoint.started_us != endpoint.started_us
+            if listed_before is not None and (gone or restarted):
                 removed.append(self._remove(endpoint.id))
-            elif known is not None:
-                known.endpoint = endpoint
-            if not gone and (known is None or restarted):
+            elif listed_before is not None:
+                listed_before.endpoint = endpoint
+            if not gone and (listed_before is None or restarted):
                 added.append(self.add(endpoint, now_us, max_initial_work_us, settings))
             full_weight = self._full_weights.get(endpoint.kind, MIN_WEIGHT)
             self._full_weights[endpoint.kind] = max(endpoint.weight, full_weight)
@@ -106,7 +108,7 @@
         return state
 
     def update_ranks(self, removed: list[EndpointState], added: list[EndpointState]) -> None:
-        """Bring `by_rank` up to date: a few endpoints are moved, after many changes all are sorted."""
+        """Update `by_rank`: insert and remove a few endpoints, or sort all after many changes."""
         if len(removed) + len(added) > len(self.by_id) / 8:
             self.by_rank = sorted(self.by_id.values(), key=attrgetter("rank"))
             return
--- a/load_balancer/decisions/latency.py
+++ b/load_balancer/decisions/latency.py
@@ -97,17 +97,17 @@
 
     Attributes:
         by_id: The same by class id.
-        slowest: The class with the longest smoothed latency, kept without a walk over all.
+        slowest: The class with the longest smoothed latency, updated without visiting all.
     """
 
-    def __init__(self, version: SettingsVersion, before: Mapping[int, ClassState]) -> None:
-        """Keep the state of the classes in `before`, by id, whose id the version still has."""
+    def __init__(self, version: SettingsVersion, previous: Mapping[int, ClassState]) -> None:
+        """Reuse the states in `previous`, by id, whose ids the version still has."""
         terms_by_id = zip(version.class_ids, version.settings.classes, strict=True)
         super().__init__(
-            before.get(class_id) or ClassState(class_id, terms) for class_id, terms in terms_by_id
+            previous.get(class_id) or ClassState(class_id, terms) for class_id, terms in terms_by_id
         )
         self.by_id = {state.class_id: state for state in self}
-        for state in before.values():
+        for state in previous.values():
             state.owner = None
         for state in self:
             state.owner = self
--- a/load_balancer/decisions/ordered_keys.py
+++ b/load_balancer/decisions/ordered_keys.py
@@ -10,11 +10,11 @@
 
 
 class OrderedKeys:
-    """The queues of all keys that have requests, or whose delay is not over.
+    """The queues of all keys that have requests or a delay that is not over.
 
     Attributes:
         queues: By key.
-        released: Queues from which a request has gone since the next ones were last sent.
+        released: Queues from which a request was removed and whose next one has not been sent yet.
     """
 
     __slots__ = ("queues", "released")
@@ -35,15 +35,15 @@
         queue.requests.append(request)
         if queue.requests[0] is request and now_us >= queue.delayed_until_us:
             return None
-        least_us = int(request.unloaded_us)
-        return max(now_us + (len(queue.requests) - 1) * least_us, queue.delayed_until_us)
+        min_latency_us = int(request.unloaded_us)
+        return max(now_us + (len(queue.requests) - 1) * min_latency_us, queue.delayed_until_us)
 
     def delay(self, queue: KeyQueue, until_us: int) -> None:
         """Send nothing of a key before a time."""
         queue.delayed_until_us = until_us
 
     def remove(self, request: Request) -> None:
-        """Take out a request that has ended; the next of its key may follow."""
+        """Remove a request that has ended, and mark its queue as released."""
         if request.key_queue is not None:
             request.key_queue.requests.remove(request)
             self.released.append(request.key_queue)
--- a/load_balancer/decisions/outliers.py
+++ b/load_balancer/decisions/outliers.py
@@ -73,7 +73,8 @@
 
     def record(self, request: Request, attempt: Attempt, event: AttemptEnded, now_us: int) -> None:
         """Record the outcome of an attempt."""
-        endpoint, outcome = attempt.endpoint, event.outcome
+        endpoint = attempt.endpoint
+        outcome = event.outcome
         slow_us = SLOW_LATENCY_FACTOR * request.expected_us
         # A timeout shorter than a slow answer is no evidence about the endpoint.
         short_timeout = outcome is Outcome.TIMEOUT and event.latency_us < slow_us
--- a/load_balancer/decisions/picker.py
+++ b/load_balancer/decisions/picker.py
@@ -87,7 +87,8 @@
         overload_budget_us: float,
     ) -> WeightedEndpoints:
         """Return the candidates that have room, with their weights above 0."""
-        now_us, settings = self._context.now_us, self._context.settings
+        now_us = self._context.now_us
+        settings = self._context.settings
         request_interval_s = self._arrivals.per_endpoint_s(endpoint_count, settings.gateways)
         speed_factor = self._reports.speed_factor
         weighted: WeightedEndpoints = []
--- a/load_balancer/decisions/quotas.py
+++ b/load_balancer/decisions/quotas.py
@@ -10,11 +10,11 @@
 
 
 class Quotas:
-    """What is left of the tenants' quotas.
+    """The remaining quota of each tenant.
 
     Attributes:
-        left_by_tenant: By tenant id, requests left and when that was, the oldest first. A tenant without an
-            entry has its whole burst left.
+        left_by_tenant: By tenant id, the requests left and when that was, in microseconds, the oldest first.
+            A tenant without an entry has its whole burst left.
     """
 
     __slots__ = ("left_by_tenant",)
--- a/load_balancer/decisions/request_lifecycle.py
+++ b/load_balancer/decisions/request_lifecycle.py
@@ -24,7 +24,7 @@
 
     Attributes:
         requests: By id, the requests without a final answer or with attempts in flight.
-        ordered_keys: Those that wait for their turn.
+        ordered_keys: Queues of the requests that wait for others of the same key.
     """
 
     __slots__ = (
@@ -66,7 +66,7 @@
             self.answer_unserved(request)
 
     def answer_unserved(self, request: Request) -> None:
-        """Give the final answer when no attempt is in flight and none is to come."""
+        """Answer a request that gets no (further) attempt: reject it where a retry is safe, else fail it."""
         if request.done:
             return
         if may_reject(request):
@@ -86,10 +86,10 @@
     def start_stream(self, request: Request, attempt: int) -> None:
         """Note that a streamed answer has begun, and cancel the other attempts."""
         request.streaming = True
-        self._dispatcher.cancel(request, wanted=attempt)
+        self._dispatcher.cancel(request, kept_attempt=attempt)
 
     def end_attempt(self, request: Request, attempt: Attempt, outcome: Outcome) -> None:
-        """Take an attempt that has ended out of what is in flight."""
+        """Mark an attempt as ended; delay its ordered key if it may still be running."""
         self._dispatcher.release(request, attempt, outcome)
         queue = request.key_queue
         if queue is not None and outcome in MAY_STILL_EXECUTE:
@@ -109,7 +109,7 @@
             self._retry(request)
 
     def advance_released_queues(self) -> None:
-        """Send the next requests of the keys from whose queues one has gone."""
+        """Send the next requests of the released queues."""
         released = self.ordered_keys.released
         while released:
             self._advance_queue(released.pop())
@@ -139,7 +139,8 @@
         """After the last attempt in flight has failed, send another one or give the final answer."""
         moving, request.moving = request.moving, False
         needs_token = request.may_have_run and not moving
-        shed_share, now_us = self._admission.shed_share, self._context.now_us
+        shed_share = self._admission.shed_share
+        now_us = self._context.now_us
         may_retry = self._retry_budget.may_retry(request, needs_token, now_us, shed_share)
         if not may_retry or not self._send(request):
             self.answer_unserved(request)
@@ -156,12 +157,12 @@
         ready_us = self.ordered_keys.enqueue(request, now_us)
         if ready_us is None:
             return False
-        least_us = int(request.unloaded_us)
+        min_latency_us = int(request.unloaded_us)
         wait_until_us = request.wait_until_us(now_us)
-        if ready_us + least_us > wait_until_us:
+        if ready_us + min_latency_us > wait_until_us:
             self.answer_unserved(request)
         else:
-            self._timers.set(wait_until_us - least_us, partial(self._stop_waiting, request))
+            self._timers.set(wait_until_us - min_latency_us, partial(self._stop_waiting, request))
         return True
 
     def _stop_waiting(self, request: Request) -> None:
--- a/load_balancer/decisions/settings_version.py
+++ b/load_balancer/decisions/settings_version.py
@@ -1,7 +1,7 @@
 """Versions of the settings, and which state of a class or tenant survives a change from one to the next.
 
-State lies under the id of a class or tenant, not under its index in the settings. A class or tenant whose
-name and meaning stay the same keeps its id and so its state; any other gets a new id and starts anew.
+State is stored by the id of a class or tenant, not by its index in the settings. A class or tenant whose name
+and fields stay the same keeps its id and so its state; any other gets a new id and no state.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SettingsVersion:
-    """Settings that came together, with ids for their classes and tenants that outlive their indexes.
+    """One version of the settings, with ids for its classes and tenants that survive changes of index.
 
     Attributes:
         number: Counts versions from 1.
@@ -43,35 +43,36 @@
     return SettingsVersion(1, settings, tuple(range(class_count)), tuple(range(tenant_count)), next_id)
 
 
-def next_version(before: SettingsVersion, settings: Settings) -> Generator[None, None, SettingsVersion]:
-    """Return the version that follows `before`, yielding between steps as the work takes milliseconds."""
-    next_id = before.next_id
-    old = before.settings
-    class_ids, next_id = yield from _carry_ids(old.classes, before.class_ids, settings.classes, next_id)
-    tenant_ids, next_id = yield from _carry_ids(old.tenants, before.tenant_ids, settings.tenants, next_id)
+def next_version(previous: SettingsVersion, settings: Settings) -> Generator[None, None, SettingsVersion]:
+    """Return the version that follows `previous`, yielding between steps as the work takes milliseconds."""
+    next_id = previous.next_id
+    old = previous.settings
+    class_ids, next_id = yield from _carry_ids(old.classes, previous.class_ids, settings.classes, next_id)
+    tenant_ids, next_id = yield from _carry_ids(old.tenants, previous.tenant_ids, settings.tenants, next_id)
     if not settings.tenants:  # without tenants all requests are those of a single one
         if old.tenants:
-            tenant_ids, next_id = (next_id,), next_id + 1
+            tenant_ids = (next_id,)
+            next_id += 1
         else:
-            tenant_ids = before.tenant_ids
-    return SettingsVersion(before.number + 1, settings, class_ids, tenant_ids, next_id)
+            tenant_ids = previous.tenant_ids
+    return SettingsVersion(previous.number + 1, settings, class_ids, tenant_ids, next_id)
 
 
 def _carry_ids(
     old: Sequence[_Item], old_ids: tuple[int, ...], new: Sequence[_Item], next_id: int
 ) -> Generator[None, None, tuple[tuple[int, ...], int]]:
-    """Return ids for `new` and the next free id; an item without a name is never the same as another."""
+    """Return ids for `new` and the next free id; an item without a name always gets a new id."""
     if new is old:
         return old_ids, next_id
-    known: dict[str, tuple[_Item, int]] = {}
+    old_by_name: dict[str, tuple[_Item, int]] = {}
     for index, item in enumerate(old):
-        known[item.name] = (item, old_ids[index])
+        old_by_name[item.name] = (item, old_ids[index])
         if index % ITEMS_PER_STEP == 0:
             yield
     new_ids: list[int] = []
     for index, item in enumerate(new, len(old)):
-        before, item_id = known.get(item.name, (None, 0))
-        if not item.name or (before is not item and before != item):
+        old_item, item_id = old_by_name.get(item.name, (None, 0))
+        if not item.name or (old_item is not item and old_item != item):
             item_id = next_id
             next_id += 1
         new_ids.append(item_id)
--- a/load_balancer/decisions/timers.py
+++ b/load_balancer/decisions/timers.py
@@ -23,13 +23,13 @@
         self.callbacks: dict[int, Callable[[], None]] = {}
 
     def set(self, due_us: int, callback: Callable[[], None]) -> None:
-        """Call back at or after an absolute time."""
+        """Call `callback` at or after an absolute time in microseconds."""
         self.callbacks[self._next_token] = callback
         self._actions.append(SetTimer(due_us, self._next_token))
         self._next_token += 1
 
     def fire(self, token: int) -> None:
-        """Call back for a timer; one that is unknown or has fired is ignored."""
+        """Run the callback of a timer; ignore one that is unknown or has fired."""
         callback = self.callbacks.pop(token, None)
         if callback is not None:
             callback()
--- a/load_balancer/gateway/client_server.py
+++ b/load_balancer/gateway/client_server.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+from operator import attrgetter
 
 from load_balancer.config.file import Config
 from load_balancer.config.steps import run_to_completion
@@ -87,16 +88,22 @@
 
     def _make_room(self, connection: ClientConnection, excess: int) -> None:
         idle_since = self.loop.time() - EVICTION_IDLE_S
-        evictable = [c for c in self.connections if c.is_evictable and c.last_activity <= idle_since]
+        evictable = [
+            open_connection
+            for open_connection in self.connections
+            if open_connection.is_evictable and open_connection.last_activity <= idle_since
+        ]
         connection.is_over_limit = not evictable
         if excess >= REJECTED_CONNECTIONS and not evictable:
             evictable = [
-                c
-                for c in self.connections
-                if c.is_evictable and c.is_over_limit and not c.reader.has_read_request
+                open_connection
+                for open_connection in self.connections
+                if open_connection.is_evictable
+                and open_connection.is_over_limit
+                and not open_connection.reader.has_read_request
             ]
         if evictable:
-            min(evictable, key=lambda c: c.last_activity).close_when_idle()
+            min(evictable, key=attrgetter("last_activity")).close_when_idle()
         if excess >= REJECTED_CONNECTIONS + (CLOSING_CONNECTIONS if evictable else 0):
             connection.write(TOO_MANY_CONNECTIONS.encode(close=True))
             connection.close()
--- a/load_balancer/gateway/event_log.py
+++ b/load_balancer/gateway/event_log.py
@@ -140,7 +140,9 @@
 
 def _write(event: RegisteredEvent, fields: Fields) -> None:
     level = fields.get("level", event.level)  # a library's event has the level of its record
-    _logger.log(cast(int, level), event.name, **{k: v for k, v in fields.items() if k != "level"})
+    _logger.log(
+        cast(int, level), event.name, **{key: value for key, value in fields.items() if key != "level"}
+    )
 
 
 _repeat_counter = RepeatCounter(_write, asyncio.get_running_loop)
--- a/load_balancer/gateway/log_fields.py
+++ b/load_balancer/gateway/log_fields.py
@@ -36,7 +36,8 @@
     def resolve(self, fields: Iterable[tuple[str, object]]) -> dict[str, object]:
         """Return the fields with names of class and tenant for their numbers, and an endpoint's address."""
         resolved = dict(fields)
-        version, names = self._settings_version(), self.names
+        version = self._settings_version()
+        names = self.names
         tables = (
             ("request_class", version.class_ids, names.classes),
             ("tenant", version.tenant_ids, names.tenants),
@@ -66,7 +67,8 @@
 
 
 def _request_fields(request_id: object, request: PendingRequest) -> dict[str, object]:
-    names, client_request = request.names, request.client_request
+    names = request.names
+    client_request = request.client_request
     fields: dict[str, object] = {
         "request_id": request_id,
         "request_class": names.classes[client_request.request_class],
--- a/load_balancer/gateway/proxy.py
+++ b/load_balancer/gateway/proxy.py
@@ -229,7 +229,8 @@
         if 0 < self.settings.max_open_requests <= self.ledger.unanswered:
             send_answer(text_response(503, "too many requests"))
             return None
-        version, names = self.settings_version, self._log_fields.names
+        version = self.settings_version
+        names = self._log_fields.names
         request = self.ledger.accept(client_request, version, names, send_answer, has_disconnected)
         self.dispatch(request.arrival())
         return request
--- a/load_balancer/gateway/request_parsing.py
+++ b/load_balancer/gateway/request_parsing.py
@@ -123,7 +123,7 @@
 
 
 def _check_request_id(request_id: bytes) -> None:
-    if not 0 < len(request_id) <= REQUEST_ID_LIMIT or not all(33 <= c <= 126 for c in request_id):
+    if not 0 < len(request_id) <= REQUEST_ID_LIMIT or not all(33 <= byte <= 126 for byte in request_id):
         raise HttpRequestError(400, "Request-Id is missing or malformed")
 
 
--- a/load_balancer/gateway/upstream_pool.py
+++ b/load_balancer/gateway/upstream_pool.py
@@ -97,8 +97,9 @@
 
         Attempts that wait for a connection fail now, while there is time to try another endpoint.
         """
-        for connection in [c for c in self.open_connections if c.owner is self and c.is_unused]:
-            connection.fail()
+        for connection in list(self.open_connections):
+            if connection.owner is self and connection.is_unused:
+                connection.fail()
 
     def close_idle(self, idle_since_before: float | None = None) -> None:
         """Close the idle connections, or only those that have been idle since before a loop time."""
--- a/tests/decisions/test_concurrency_limit.py
+++ b/tests/decisions/test_concurrency_limit.py
@@ -21,7 +21,7 @@
 def test_a_few_prompt_answers_raise_a_low_limit() -> None:
     """At one request out it took five answers to let a second go, at three answers a second."""
     driver = Driver(endpoints=8)
-    driver.limit.probed, driver.limit.limit = True, 1.0
+    driver.limit.has_seen_slow_answer, driver.limit.limit = True, 1.0
     for _ in range(3):
         name, actions = driver.arrive()
         driver.end(name, sends(actions)[0].endpoint_id, latency_us=5_000)
@@ -31,7 +31,7 @@
 def test_the_limit_sinks_where_a_third_of_the_answers_are_long() -> None:
     """Where it held at a third the slower endpoints had choked before the rest of the answers were long."""
     driver = Driver(endpoints=8)
-    driver.limit.probed, driver.limit.limit = True, 12.0
+    driver.limit.has_seen_slow_answer, driver.limit.limit = True, 12.0
     held = [driver.arrive(request_class=2, timeout_us=1_000_000) for _ in range(9)]
     for n in range(21):
         name, actions = driver.arrive(request_class=2, timeout_us=1_000_000)
--- a/tests/decisions/test_sparse_state.py
+++ b/tests/decisions/test_sparse_state.py
@@ -205,7 +205,7 @@
                     if key == 0:
                         endpoint.breakers.recent.clear()
         if self.admission.order.parts <= MAX_EXACT_PARTS:
-            self.admission.forget_order()
+            self.admission.invalidate_order()
         return super().handle(now_us, event)
 
 
