--- a/load_balancer/config/errors.py
+++ b/load_balancer/config/errors.py
@@ -61,7 +61,7 @@
             self.raise_if_any()
 
     def raise_if_any(self) -> None:
-        """Raise what has been collected.
+        """Raise the collected errors together, if any.
 
         Raises:
             SettingsFormatError: At least one error has been collected.
--- a/load_balancer/config/models.py
+++ b/load_balancer/config/models.py
@@ -87,7 +87,7 @@
 
 
 class PricesModel(SettingsObject, frozen=True):
-    """What each unit of cost takes off the result."""
+    """The price of a unit of each cost, subtracted from the objective."""
 
     cross_zone: NonNegative = 0.0
     waste: NonNegative = 0.0
@@ -103,7 +103,7 @@
 
 
 class CapabilitiesModel(SettingsObject, frozen=True):
-    """What a gateway may do, and its limits."""
+    """Optional actions of a gateway, and its limits."""
 
     max_attempts: AtLeastOne = 3.0
     may_cancel: Flag = False
@@ -121,7 +121,7 @@
 
 
 class EndpointContractModel(SettingsObject, frozen=True):
-    """What endpoints and service discovery are known to do, and what they ask for."""
+    """Guarantees and requirements of endpoints and service discovery."""
 
     max_poll_interval_us: NonNegative = field(default=10_000_000.0, name="mustAskInUs")
     slow_start_capacity: Share = field(default=1.0, name="startCapacity")
@@ -135,13 +135,13 @@
 
 
 class ClientsModel(SettingsObject, frozen=True):
-    """What clients do."""
+    """Behaviour of clients."""
 
     mark_retries: Flag = field(default=False, name="marksRetry")
 
 
 class EndpointFeaturesModel(SettingsObject, frozen=True):
-    """What the endpoints of the service do besides answering."""
+    """Optional features of the endpoints."""
 
     key_affinity: Flag = field(default=False, name="warmKeys")
     propagate_deadlines: Flag = field(default=False, name="passesDeadline")
--- a/load_balancer/decisions/actions.py
+++ b/load_balancer/decisions/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the balancer asks its caller to do, in the order returned."""
+"""Actions: the balancer's outputs, which its caller carries out in the order returned."""
 
 from __future__ import annotations
 
--- a/load_balancer/decisions/admission.py
+++ b/load_balancer/decisions/admission.py
@@ -122,7 +122,7 @@
         self.order = PriorityOrder(demand.changes, parts)
 
     def priority(self, request_class: ClassState, over_quota: bool) -> float:
-        """Return what the objective gains from each unit of endpoint time for a class."""
+        """Return the gain of the objective for a unit of endpoint time spent on a class."""
         settings = self._context.settings
         demand = self._demand
         objective = settings.objective
--- a/load_balancer/decisions/balancer.py
+++ b/load_balancer/decisions/balancer.py
@@ -211,7 +211,7 @@
             self.demand.note_served(request.request_class.class_id)
 
     def _on_settings_changed(self, version: SettingsVersion) -> None:
-        """Put settings in force for what arrives from now on; requests in flight keep theirs."""
+        """Apply new settings to requests from now on; those in flight keep theirs."""
         context = self.context
         if version.number <= context.settings_version.number:
             return
--- a/load_balancer/decisions/demand.py
+++ b/load_balancer/decisions/demand.py
@@ -42,7 +42,7 @@
     Attributes:
         within_quota: First tries within their tenant's quota.
         over_quota: First tries beyond it.
-        served: Of the former, those served within their latency objective.
+        served: Those within quota that were served within their latency objective.
         total_within_quota: Sum of `within_quota`.
         total: Sum of both.
         changes: Changes so far to these counts or to the unloaded latency of a class.
--- a/load_balancer/decisions/dispatcher.py
+++ b/load_balancer/decisions/dispatcher.py
@@ -16,7 +16,7 @@
 
 
 class Dispatcher:
-    """Chooses an endpoint for each attempt, and counts what is in flight.
+    """Chooses an endpoint for each attempt, and counts the attempts in flight.
 
     Attributes:
         subset: Selects the endpoints that may take a request.
--- a/load_balancer/decisions/endpoint.py
+++ b/load_balancer/decisions/endpoint.py
@@ -10,7 +10,7 @@
     """Whether new requests may go to an endpoint."""
 
     READY = "ready"
-    DRAINING = "draining"  # finishes what it has; nothing new may be sent to it
+    DRAINING = "draining"  # finishes its requests; no new ones may be sent to it
     GONE = "gone"  # removed from the list
 
 
--- a/load_balancer/decisions/endpoint_state.py
+++ b/load_balancer/decisions/endpoint_state.py
@@ -1,4 +1,4 @@
-"""What this gateway knows of one endpoint, and the attempts that it has in flight there."""
+"""The state that this gateway holds of one endpoint, and its attempts in flight there."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class EndpointState:
-    """What this gateway knows of one endpoint since that last started.
+    """The state that this gateway holds of one endpoint since its last start.
 
     Attributes:
         endpoint: The endpoint as last listed.
--- a/load_balancer/decisions/latency.py
+++ b/load_balancer/decisions/latency.py
@@ -1,4 +1,4 @@
-"""Latency estimates by request class, and what counts as slow or overdue against them."""
+"""Latency estimates by request class, and the factors by which an answer is slow or overdue."""
 
 from __future__ import annotations
 
--- a/load_balancer/decisions/quotas.py
+++ b/load_balancer/decisions/quotas.py
@@ -42,7 +42,7 @@
         return min(burst, left + quota_per_s * (now_us - at_us) / 1e6)
 
     def _store(self, tenant_id: int, now_us: int, left: float) -> None:
-        """Store what is left, and drop entries so old that the bucket has filled up again."""
+        """Store the requests left, and drop entries so old that their buckets are full again."""
         self.left_by_tenant[tenant_id] = (left, now_us)
         self.left_by_tenant.move_to_end(tenant_id)
         while now_us - next(iter(self.left_by_tenant.values()))[1] > QUOTA_BURST_S * 1e6:
--- a/load_balancer/decisions/request_lifecycle.py
+++ b/load_balancer/decisions/request_lifecycle.py
@@ -76,7 +76,7 @@
         self.finish(request)
 
     def finish(self, request: Request) -> None:
-        """Note that a request has had its final answer, and cancel what is in flight."""
+        """Note that a request has had its final answer, and cancel its attempts in flight."""
         request.done = True
         if request.in_flight == 0:
             self._forget(request)
--- a/load_balancer/decisions/retries.py
+++ b/load_balancer/decisions/retries.py
@@ -1,4 +1,4 @@
-"""Retries: the budget for them, what may be repeated, and what to do about an overdue attempt."""
+"""The retry budget, the rules for repeating a request, and the reaction to overdue attempts."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from load_balancer.decisions.request import Request
 from load_balancer.decisions.settings import DeduplicationScope, Idempotency
 
-RETRY_TOKENS_PER_REQUEST = 0.2  # tokens that a first try adds; a retry of what may have run takes one
+RETRY_TOKENS_PER_REQUEST = 0.2  # tokens that a first try adds; a retry after a possible execution takes one
 MAX_RETRY_TOKENS = 2.0  # small, as hundreds of gateways may spend their tokens at once
 
 
 class OverdueReaction(Enum):
-    """What to do about a request whose attempt should have been answered by now."""
+    """The reaction to a request with an overdue attempt."""
 
     WAIT = "wait"
     HEDGE = "hedge"  # send a second attempt beside the first
@@ -62,7 +62,7 @@
         return self.tokens >= 1 and shed_share <= 0.0
 
     def react_to_overdue(self, request: Request, shed_share: float) -> OverdueReaction:
-        """Mark the attempts in flight as overdue; returns what to do about the request."""
+        """Mark the attempts in flight as overdue; returns the reaction."""
         late = [attempt for attempt in request.attempts if not attempt.ended and not request.done]
         for attempt in late:
             attempt.overdue = True
--- a/load_balancer/decisions/settings.py
+++ b/load_balancer/decisions/settings.py
@@ -15,7 +15,7 @@
 
 
 class Idempotency(Enum):
-    """What running a request a second time would do."""
+    """The effect of executing a request a second time."""
 
     IDEMPOTENT = "idempotent"  # nothing: it may be repeated at will
     IDEMPOTENCY_KEY = "idempotency_key"  # the endpoints of one scope drop repeats of a key for a while
@@ -59,7 +59,7 @@
         client_timeout_us: The client's timeout over all its tries.
         priority_weight: Value of an answer within the objective.
         late_weight_share: Share of the weight left after the objective, from 0 to 1.
-        idempotency: What running a request twice would do.
+        idempotency: The effect of executing a request twice.
         deduplication_scope: For an idempotency key: which endpoints drop repeats.
         deduplication_window_us: For an idempotency key: how long, from the sending of the first attempt.
         ordered: Requests with one key run one at a time, in order of arrival.
@@ -113,7 +113,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Prices:
-    """What each unit of cost takes off the result. Decisions use `cross_zone`; the others are not used yet.
+    """The price of a unit of each cost. Decisions use `cross_zone`; the others are not used yet.
 
     Raises:
         SettingsError: A price is not finite or below 0.
@@ -170,7 +170,7 @@
     Attributes:
         classes: The request classes; at least one.
         objective: How the parts of good service are weighed.
-        prices: What each unit of cost takes off the result.
+        prices: The price of a unit of each cost.
         weight_by_work: Priority weights count for each unit of work, not for each request.
         gateways: How many gateways share the endpoints.
         gateway_index: This gateway's own number among them, from 0.
--- a/load_balancer/errors.py
+++ b/load_balancer/errors.py
@@ -8,4 +8,4 @@
 
 
 class SettingsError(LoadBalancerError, ValueError):
-    """Settings from which no decision can be made; the message names the field and what is wrong with it."""
+    """Settings that are out of range or contradictory; the message names the field and the fault."""
--- a/load_balancer/gateway/client_server.py
+++ b/load_balancer/gateway/client_server.py
@@ -30,7 +30,7 @@
 # Of a graceful shutdown. New connections go on coming for 0.4 s after a planned restart has begun.
 ACCEPT_GRACE_S = 0.5
 REQUEST_GRACE_S = 0.6
-PARTIAL_REQUEST_GRACE_S = 0.1  # for the rest of a request that has come in part
+PARTIAL_REQUEST_GRACE_S = 0.1  # for the rest of a request received in part
 UNREAD_ANSWER_GRACE_S = 3.0  # for a client to read the answers that it has been sent
 SHUTDOWN_POLL_S = 0.01
 
@@ -134,7 +134,7 @@
         """Shut down gracefully: accept and answer requests for a grace period, then close."""
         self.draining = True
         await asyncio.sleep(ACCEPT_GRACE_S)
-        for _ in range(2):  # turns of the loop, in which it accepts what has connected by now
+        for _ in range(2):  # turns of the loop, in which it accepts pending connections
             await asyncio.sleep(0)
         self.stop_listening()
         await asyncio.sleep(REQUEST_GRACE_S - ACCEPT_GRACE_S)
--- a/load_balancer/gateway/discovery_messages.py
+++ b/load_balancer/gateway/discovery_messages.py
@@ -1,4 +1,4 @@
-"""Discovery's JSON and its translation into typed watch events; its words are used in this module alone."""
+"""Discovery's JSON and its translation into typed watch events; its field names are used only here."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
     Attributes:
         name: The endpoint's name at discovery.
-        endpoint: What the balancer knows of it.
+        endpoint: The endpoint as passed to the balancer.
         address: Where it accepts connections.
     """
 
@@ -180,7 +180,7 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """The size of what has not ended yet, without its newlines."""
+        """Bytes of incomplete lines and objects, without newlines."""
         return self._partial_line_bytes + self._message_bytes
 
     def feed(self, data: bytes) -> list[bytes]:
--- a/load_balancer/gateway/event_log.py
+++ b/load_balancer/gateway/event_log.py
@@ -76,7 +76,7 @@
 
 
 class LibraryHandler(logging.Handler):
-    """Turns what libraries log into events."""
+    """Logs the records of libraries as `library.message` events."""
 
     def emit(self, record: logging.LogRecord) -> None:
         """Log a record of another logger at the registered level next below its own."""
--- a/load_balancer/gateway/incoming_request.py
+++ b/load_balancer/gateway/incoming_request.py
@@ -41,7 +41,7 @@
 
 
 class RequestListener(Protocol):
-    """Receives what a reader has read."""
+    """Receives the requests that a reader has parsed."""
 
     def head_received(self, request: IncomingRequest) -> None:
         """Handle the head of a request."""
@@ -56,8 +56,8 @@
     Attributes:
         is_stopped: Whether anything that still comes is ignored: the framing is lost, or there is to be no
             further request.
-        is_mid_request: Whether the first byte of a request has come and its last has not.
-        has_read_request: Whether a whole request has come.
+        is_mid_request: Whether a request has been received in part.
+        has_read_request: Whether a complete request has been received.
         began_at: Loop time at which the current request began: for the first one that of connecting, for
             later ones that of their first byte.
     """
@@ -74,7 +74,7 @@
         self._head_bytes: int | None = None  # of a head that has not ended
 
     def feed(self, data: bytes) -> None:
-        """Read a part of what the client sends."""
+        """Parse a piece of the client's bytes."""
         if self._head_bytes is None and not self.is_mid_request:
             self._head_bytes = 0
         if self._head_bytes is not None:
--- a/load_balancer/gateway/reload.py
+++ b/load_balancer/gateway/reload.py
@@ -29,7 +29,7 @@
     """A setting that only a new process can change.
 
     Attributes:
-        path: Where it stands in the file.
+        path: Its JSON path in the file.
         value_in: Returns its value in a configuration.
     """
 
@@ -116,7 +116,7 @@
         except ConfigError as error:
             log_event("config.rejected", error=error, settings_version=self._proxy.settings_version.number)
         finally:
-            gc.enable()  # nothing is left to collect: what the reading drops is freed by its reference count
+            gc.enable()  # no garbage is left: the reading makes no reference cycles
         trim_heap()
 
     async def _read_and_apply(self) -> None:
--- a/load_balancer/gateway/repeat_counter.py
+++ b/load_balancer/gateway/repeat_counter.py
@@ -85,7 +85,7 @@
             self._start_timer(loop, now)
 
     def flush(self) -> None:
-        """Write what has been counted, as at the process's end."""
+        """Write all pending counts, for instance when the process ends."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
--- a/load_balancer/gateway/request_parsing.py
+++ b/load_balancer/gateway/request_parsing.py
@@ -15,8 +15,7 @@
 
 REQUEST_TIMEOUT_LIMIT_MS = 3_600_000
 REQUEST_ID_LIMIT = 128  # characters
-# Headers that say what a request is and how long it may take. Where one is given twice, an endpoint might
-# read another value than the gateway.
+# Headers that may occur only once: of two values, the gateway and an endpoint might use different ones.
 SINGLE_HEADERS = frozenset((b"request-id", b"request-class", b"tenant", b"request-timeout-ms"))
 
 
