--- a/load_balancer/config/steps.py
+++ b/load_balancer/config/steps.py
@@ -7,15 +7,15 @@
 
 ITEMS_PER_STEP = 200  # list items between two yields: well under a millisecond
 
-T = TypeVar("T")
-Steps = Generator[None, None, T]
+Result = TypeVar("Result")
+Steps = Generator[None, None, Result]
 
 
-def run_to_completion(steps: Steps[T]) -> T:
+def run_to_completion(steps: Steps[Result]) -> Result:
     """Run all steps without a pause and return their result."""
     while True:
         try:
             next(steps)
         except StopIteration as end:
-            result: T = end.value
+            result: Result = end.value
             return result
--- a/load_balancer/gateway/reload.py
+++ b/load_balancer/gateway/reload.py
@@ -6,20 +6,21 @@
 import ctypes
 import gc
 import os
-from collections.abc import Callable, Generator, Mapping
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 from typing import TypeVar
 
 from load_balancer.config.errors import ConfigError
 from load_balancer.config.file import read_steps
 from load_balancer.config.gateway_config import Config
+from load_balancer.config.steps import Steps
 from load_balancer.decisions.settings_version import SettingsVersion, next_version
 from load_balancer.gateway.client_server import ClientServer
 from load_balancer.gateway.event_log import log_event
 from load_balancer.gateway.proxy import Proxy
 from load_balancer.gateway.request_parsing import lookup_steps
 
-T = TypeVar("T")
+Result = TypeVar("Result")
 
 LOGGED_DIGEST_CHARACTERS = 12
 
@@ -158,12 +159,12 @@
         trim(0)
 
 
-async def run_cooperatively(steps: Generator[None, None, T]) -> T:
+async def run_cooperatively(steps: Steps[Result]) -> Result:
     """Run steps with a turn of the loop after each; returns their result."""
     while True:
         try:
             next(steps)
         except StopIteration as end:
-            result: T = end.value
+            result: Result = end.value
             return result
         await asyncio.sleep(0)
