--- a/load_balancer/config/effective_config.py
+++ b/load_balancer/config/effective_config.py
@@ -87,7 +87,7 @@
 
 
 def _with_integers(value: Any) -> Any:
-    """Return a JSON value with each whole number written without a point."""
+    """Return a JSON value with each integral float converted to an integer."""
     if isinstance(value, dict):
         return {key: _with_integers(inner) for key, inner in value.items()}
     if isinstance(value, list):
--- a/load_balancer/config/errors.py
+++ b/load_balancer/config/errors.py
@@ -13,7 +13,7 @@
     """The configuration is missing or cannot be used.
 
     Attributes:
-        errors: Everything that was found wrong, one line each.
+        errors: All errors found, one line each.
     """
 
     def __init__(self, message: str, errors: tuple[str, ...] = ()) -> None:
@@ -31,7 +31,7 @@
     """JSON that does not fit its model.
 
     Attributes:
-        errors: Everything that was found wrong, one line each, with the path where it stands.
+        errors: All errors found, one line each, beginning with the JSON path.
     """
 
     def __init__(self, errors: Iterable[str]) -> None:
--- a/load_balancer/config/file.py
+++ b/load_balancer/config/file.py
@@ -26,7 +26,7 @@
 def load_config(environ: Mapping[str, str]) -> Config:
     """Return the configuration of a gateway that starts.
 
-    ROUTER_NAME, ROUTER_LISTEN and ROUTER_DISCOVERY override what stands in the file.
+    ROUTER_NAME, ROUTER_LISTEN and ROUTER_DISCOVERY override the values in the file.
 
     Raises:
         ConfigError: The configuration is missing or cannot be used.
--- a/load_balancer/decisions/balancer.py
+++ b/load_balancer/decisions/balancer.py
@@ -2,10 +2,10 @@
 
 `Balancer` owns the parts, each of which makes one kind of decision and alone changes its own state:
 
-1. `request_intake` makes the record of a request that arrives; `quotas` tells whether it is over quota.
+1. `request_intake` makes the record of a request that arrives; `quotas` decides whether it is over quota.
 2. `admission` sheds load, the least priority first, when more is in flight than `concurrency_limit` allows.
 3. `request_lifecycle` brings the request to its one final answer. `ordered_keys` makes requests of ordered
-   classes with one key take turns; `retries` says what is sent once more.
+   classes with one key run in turn; `retries` decides which are retried.
 4. `dispatcher` sends an attempt. `subset` selects the endpoints that may take it, by rank in
    `endpoint_list`, by status, by `circuit_breaker` and by silence; `slow_start` bounds the work sent to an
    endpoint that has just started.
--- a/load_balancer/decisions/demand.py
+++ b/load_balancer/decisions/demand.py
@@ -32,7 +32,7 @@
         self.last_us = now_us
 
     def per_endpoint_s(self, endpoint_count: int, gateways: int) -> float:
-        """Return the time between two requests of all gateways at one endpoint, if all were alike."""
+        """Return the mean time in seconds between two requests at one endpoint, from all gateways."""
         return self.interval_us / 1e6 * endpoint_count / gateways
 
 
--- a/load_balancer/decisions/endpoint_state.py
+++ b/load_balancer/decisions/endpoint_state.py
@@ -117,7 +117,7 @@
 
 
 def breakers_for(endpoint: EndpointState, key: int) -> tuple[CircuitBreaker | None, CircuitBreaker | None]:
-    """Return the breakers that must let a request through; None stands for a closed one without outcomes.
+    """Return the breakers that must let a request through; None means a closed one without outcomes.
 
     An endpoint that fails one class or tenant only would, with a single breaker, be used for all requests
     or ejected for all, as its few failures are hidden among the answers to the others.
--- a/load_balancer/decisions/priority_order.py
+++ b/load_balancer/decisions/priority_order.py
@@ -16,7 +16,7 @@
         parts: Number of parts.
         priorities: Their priorities, the least first.
         amounts: Sums of the work up to each part, from 0.
-        whole: All work; 1 where there is none.
+        whole: Sum of all parts; 1 if that is 0.
     """
 
     __slots__ = ("amounts", "at_change", "parts", "priorities", "whole")
--- a/load_balancer/decisions/request_lifecycle.py
+++ b/load_balancer/decisions/request_lifecycle.py
@@ -99,7 +99,7 @@
             self._timers.set(until_us, partial(self._advance_queue, queue))
 
     def after_attempt(self, request: Request, event: AttemptEnded) -> None:
-        """Finish a request, or send it once more, after one of its attempts has ended."""
+        """Finish or retry a request after one of its attempts has ended."""
         if request.done:
             if request.in_flight == 0:
                 self._forget(request)
--- a/load_balancer/decisions/retries.py
+++ b/load_balancer/decisions/retries.py
@@ -76,7 +76,7 @@
         return OverdueReaction.MOVE if settings.may_cancel else OverdueReaction.WAIT
 
     def may_retry(self, request: Request, needs_token: bool, now_us: int, shed_share: float) -> bool:
-        """Return whether a request whose attempts have all failed may be sent once more.
+        """Return whether a request whose attempts have all failed may be retried.
 
         Args:
             request: The request.
--- a/load_balancer/decisions/settings.py
+++ b/load_balancer/decisions/settings.py
@@ -176,16 +176,16 @@
         gateway_index: This gateway's own number among them, from 0.
         zone: Index of the zone that this gateway is in.
         clients_mark_retries: Clients say of a retry that it is one.
-        max_attempts: Attempts for one request at the most.
+        max_attempts: Most attempts for one request.
         may_cancel: Attempts in flight may be cancelled.
         may_hedge: Two attempts of one request may be in flight together.
         load_dependent_weights: Listed weights fall with the endpoint's load, with a delay.
-        key_affinity: An endpoint that served a key lately serves it for less work.
+        key_affinity: An endpoint serves a key that it served recently with less work.
         endpoints_are_pushed: False: changes come only after `SubscribeEndpoints`.
         max_poll_interval_us: Longest time without a call to service discovery while not subscribed.
         max_retry_after_us: Longest advice to clients; 0 for none.
         slow_start_capacity: Share of its capacity that an endpoint has when it starts, from 0 to 1.
-        slow_start_us: An endpoint has its whole capacity after this.
+        slow_start_us: Time after its start until an endpoint has full capacity.
         overload_multiple: An endpoint in slow start fails when it is sent more than this times its capacity
             within `overload_window_us`.
         overload_window_us: See `overload_multiple`.
--- a/load_balancer/decisions/slow_start.py
+++ b/load_balancer/decisions/slow_start.py
@@ -15,7 +15,7 @@
 
 
 def capacity_share(endpoint: EndpointState, now_us: int, settings: Settings) -> float:
-    """Return the share of its capacity, from 0 to 1, that an endpoint surely has by now."""
+    """Return the share of its capacity, from 0 to 1, that an endpoint has at least by now."""
     started_us = endpoint.endpoint.started_us
     if started_us == 0:
         return 1.0
@@ -30,7 +30,7 @@
     """Return this gateway's part of the work that may be sent to a full-capacity endpoint in a window.
 
     The parts of all gateways with the endpoint in their subset add up to the whole. A bucket of half the
-    budget that drains half a budget in each window never passes the whole in any window.
+    budget that drains half a budget in each window never exceeds the whole budget in any window.
     """
     users = max(1.0, settings.gateways * min(1.0, subset_size / max(1, endpoint_count)))
     return OVERLOAD_BUDGET_SHARE * settings.overload_multiple * settings.overload_window_us / users
--- a/load_balancer/gateway/client_connection.py
+++ b/load_balancer/gateway/client_connection.py
@@ -54,7 +54,7 @@
         is_over_limit: Whether there are too many connections, so that every request is answered 503.
         is_lingering: Whether the last answer has been written.
         lingering_close: Closes the connection after that.
-        is_closing_when_idle: Whether it is to be closed unless another request comes first.
+        is_closing_when_idle: Whether it will be closed unless another request arrives first.
         is_write_paused: Whether the write buffer is full, as the client does not read its answers.
         last_activity: Loop time of the last read or answer, in seconds.
     """
--- a/load_balancer/gateway/lingering_close.py
+++ b/load_balancer/gateway/lingering_close.py
@@ -8,7 +8,7 @@
 
 
 class LingeringClose:
-    """Closes the sending side, and the connection itself a while later.
+    """Closes the sending side at once, and the connection after `LINGER_S` or later.
 
     What the client still sends is read and dropped until then. Closing over unread bytes would send a reset,
     which can overtake the last answer.
--- a/load_balancer/gateway/load_reports.py
+++ b/load_balancer/gateway/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports of endpoints, as they stand in a header of a response."""
+"""Load reports of endpoints, in the form of a response header."""
 
 from __future__ import annotations
 
--- a/load_balancer/gateway/repeat_counter.py
+++ b/load_balancer/gateway/repeat_counter.py
@@ -1,4 +1,4 @@
-"""Counting of repeated log events: one line a second for each event that goes on."""
+"""Counting of repeated log events: one line a second for each event that keeps repeating."""
 
 from __future__ import annotations
 
--- a/load_balancer/gateway/request_ledger.py
+++ b/load_balancer/gateway/request_ledger.py
@@ -33,7 +33,7 @@
         names: The names of that version.
         remaining_timeout_us: Time to its deadline when it arrived.
         deadline_us: Time at which its client gives up, less the time for transit.
-        send_answer: None once it has had its final answer or its client has gone.
+        send_answer: None once it has had its final answer or its client has disconnected.
         has_disconnected: Whether its client's connection has ended, read by the loop or not.
         last_resort: The timer that answers it if nothing else does.
         attempts: By number; None for one that was never started.
@@ -158,7 +158,7 @@
         return not request.is_closed
 
     def client_disconnected(self, request: PendingRequest) -> None:
-        """Drop the answer of a request whose client has gone, and notify the balancer."""
+        """Drop the answer of a request whose client has disconnected, and notify the balancer."""
         if not request.is_closed:
             self._close_request(request)
             self._dispatch(ClientDisconnected(request.id))
--- a/load_balancer/gateway/upstream_pool.py
+++ b/load_balancer/gateway/upstream_pool.py
@@ -31,7 +31,7 @@
     Attributes:
         now: The loop's clock, in seconds.
         connect_timeout_s: Timeout for opening a connection.
-        idle_timeout_s: How long a connection may stand idle.
+        idle_timeout_s: How long a connection may be idle.
         reuse_delay_s: Until a connection that has become idle may be used again.
     """
 
@@ -49,7 +49,7 @@
         address: Where the endpoint is.
         timing: Shared by all pools.
         open_connections: Those to all endpoints, busy, idle or coming up; shared by all pools.
-        draining: Whether the endpoint drains or is gone, so that nothing new is sent to it.
+        draining: Whether the endpoint is draining or removed, so that no new request is sent to it.
         idle: Connections that carry no attempt, the one used last at the end.
     """
 
@@ -93,7 +93,7 @@
             self.idle.remove(connection)
 
     def retire(self) -> None:
-        """Close unused connections, as the endpoint drains, is gone or has another address.
+        """Close unused connections, as the endpoint is draining, was removed or has a new address.
 
         Attempts that wait for a connection fail now, while there is time to try another endpoint.
         """
@@ -134,7 +134,7 @@
         self.set_timeouts(connect_timeout_us, idle_timeout_us)
 
     def set_timeouts(self, connect_timeout_us: int, idle_timeout_us: int) -> None:
-        """Set the time to connect and the endpoints' idle timeout; 0 stands for the default."""
+        """Set the time to connect and the endpoints' idle timeout; 0 means the default."""
         idle_timeout_s = idle_timeout_us / 1e6 or DEFAULT_IDLE_TIMEOUT_S
         self.timing.connect_timeout_s = connect_timeout_us / 1e6 or DEFAULT_CONNECT_TIMEOUT_S
         self.timing.idle_timeout_s = idle_timeout_s * IDLE_TIMEOUT_SHARE
@@ -211,7 +211,7 @@
             endpoint.close_idle()
 
     def sweep(self) -> None:
-        """Close connections past their idle timeout and forget endpoints that drain or are gone."""
+        """Close connections past their idle timeout and forget endpoints that are draining or removed."""
         oldest = self.timing.now() - self.timing.idle_timeout_s
         for endpoint_id, endpoint in list(self.endpoints.items()):
             if endpoint.idle:
--- a/load_balancer/simulator/fields.py
+++ b/load_balancer/simulator/fields.py
@@ -14,7 +14,7 @@
 
 
 def text_field(fields: Fields, name: str) -> str:
-    """Return a field that must be there.
+    """Return a required field.
 
     Raises:
         WireFormatError: The field is missing.
@@ -26,7 +26,7 @@
 
 
 def integer_field(fields: Fields, name: str, default: int | None = None) -> int:
-    """Return a whole number; without a default the field must be there.
+    """Return a whole number; without a default the field is required.
 
     Raises:
         WireFormatError: The field is missing, or is not a whole number.
