--- a/lab/simulated_gateways.py
+++ b/lab/simulated_gateways.py
@@ -30,7 +30,8 @@
     StartRequests,
     WrittenChange,
 )
-from load_balancer.config.file import Config, parse_config
+from load_balancer.config.file import parse_config
+from load_balancer.config.gateway_config import Config
 from load_balancer.decisions.actions import (
     Action,
     Cancel,
@@ -188,7 +189,7 @@
             settings = replace(self.config.settings, gateway_index=number, zone=number % len(fleet.ZONES))
             gateway = SimulatedGateway(self, replace(self.config, settings=settings), seed + number)
             self.gateways.append(gateway)
-            gateway.discovery.start(self.config.known)
+            gateway.discovery.start(self.config.cached_endpoint_list)
             await asyncio.sleep(0)  # what the earlier ones receive is read in between
 
     async def send_requests(self, rate: float, routes: int, tenants: int, seed: int) -> None:
--- a/load_balancer/config/effective_config.py
+++ b/load_balancer/config/effective_config.py
@@ -29,10 +29,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EffectiveConfig:
-    """A configuration as a gateway would take it.
+    """A configuration as a gateway would apply it.
 
     Attributes:
-        config: What is in force.
+        config: The configuration as read.
         document: The same as JSON in the file's vocabulary, without the cached endpoint list.
     """
 
@@ -61,7 +61,7 @@
         "listen": format_address(config.listen),
         "discovery": format_address(config.discovery),
         "seed": f"{config.seed:x}",
-        "limits": {"sockets": config.sockets},
+        "limits": {"sockets": config.max_sockets},
         "peer_listen": format_address(config.peer_listen) if config.peer_listen else None,
         "peers": [format_address(peer) for peer in config.peers],
         "peers_all": format_address(config.peers_all) if config.peers_all else None,
@@ -87,7 +87,7 @@
 
 
 def _with_integers(value: Any) -> Any:
-    """Return a JSON value with each whole number written without a point."""
+    """Return a JSON value with each integral float converted to an integer."""
     if isinstance(value, dict):
         return {key: _with_integers(inner) for key, inner in value.items()}
     if isinstance(value, list):
--- a/load_balancer/config/errors.py
+++ b/load_balancer/config/errors.py
@@ -13,7 +13,7 @@
     """The configuration is missing or cannot be used.
 
     Attributes:
-        errors: Everything that was found wrong, one line each.
+        errors: All errors found, one line each.
     """
 
     def __init__(self, message: str, errors: tuple[str, ...] = ()) -> None:
@@ -31,7 +31,7 @@
     """JSON that does not fit its model.
 
     Attributes:
-        errors: Everything that was found wrong, one line each, with the path where it stands.
+        errors: All errors found, one line each, beginning with the JSON path.
     """
 
     def __init__(self, errors: Iterable[str]) -> None:
@@ -54,14 +54,14 @@
         """Collect an error at a JSON path.
 
         Raises:
-            SettingsFormatError: There are as many errors as are wanted.
+            SettingsFormatError: `max_errors` errors have been collected.
         """
         self.messages.append(printable_line(f"{path}: {message}" if path else message))
         if len(self.messages) >= self.max_errors:
             self.raise_if_any()
 
     def raise_if_any(self) -> None:
-        """Raise what has been collected.
+        """Raise the collected errors together, if any.
 
         Raises:
             SettingsFormatError: At least one error has been collected.
--- a/load_balancer/config/file.py
+++ b/load_balancer/config/file.py
@@ -8,7 +8,6 @@
 
 import msgspec
 
-from load_balancer.config.addresses import Address, parse_address
 from load_balancer.config.config_reader import read_config
 from load_balancer.config.errors import (
     ConfigError,
@@ -16,21 +15,9 @@
     ValidationErrors,
     printable_line,
 )
-from load_balancer.config.gateway_config import Config, NameTable
+from load_balancer.config.gateway_config import Config
 from load_balancer.config.steps import Steps, run_to_completion
 
-__all__ = [
-    "Address",
-    "Config",
-    "ConfigError",
-    "NameTable",
-    "load_config",
-    "parse_address",
-    "parse_config",
-    "read_file",
-    "read_steps",
-]
-
 CONFIG_LIMIT = 16 * 1024 * 1024  # bytes; about five times a file of 3,400 classes and 23,000 tenants
 READ_BYTES_PER_STEP = 4 * 1024 * 1024
 MIN_READ_BYTES = 64 * 1024
@@ -39,7 +26,7 @@
 def load_config(environ: Mapping[str, str]) -> Config:
     """Return the configuration of a gateway that starts.
 
-    ROUTER_NAME, ROUTER_LISTEN and ROUTER_DISCOVERY override what stands in the file.
+    ROUTER_NAME, ROUTER_LISTEN and ROUTER_DISCOVERY override the values in the file.
 
     Raises:
         ConfigError: The configuration is missing or cannot be used.
@@ -66,9 +53,9 @@
 
     Args:
         environ: The ROUTER_* variables.
-        previous: The configuration in force. What is equal in it is taken over as the same objects (tenants,
-            classes, names, and whole tuples in which nothing differs), the address of service discovery is
-            the file's, and the cached endpoint list is left empty, as the process holds a newer one.
+        previous: The configuration in force. Equal parts (tenants, classes,
+            names, and whole tuples) are reused as the same objects, ROUTER_DISCOVERY is ignored, and the
+            cached endpoint list is left empty, as the process holds a newer one.
         max_errors: Reading stops after this many errors in the file's contents.
 
     Raises:
--- a/load_balancer/config/settings_reader.py
+++ b/load_balancer/config/settings_reader.py
@@ -35,9 +35,12 @@
 
 @dataclass(frozen=True, slots=True)
 class _ItemFormat(Generic[_Item]):
-    """How the items of a list are read: the model of their JSON, and what makes an item of it.
+    """How the items of a list are read.
 
-    `convert` takes the previous item of the same name too, and returns that very object if it is equal.
+    Attributes:
+        model: The model of an item's JSON.
+        convert: Makes an item from its model and the previous item of the same name, if any; returns that
+            previous object if the two are equal.
     """
 
     model: type[Any]
@@ -53,7 +56,7 @@
 
     def __init__(self, items: tuple[_Item, ...]) -> None:
         self.items = items
-        self._by_name: dict[str, _Item] | None = None  # made at the first item that has moved
+        self._by_name: dict[str, _Item] | None = None  # built when the first item has changed its index
 
     def find(self, index: int, name: str) -> _Item | None:
         """Return the item with a name, looking at the index first; None if there was none."""
@@ -80,23 +83,16 @@
     Args:
         raw: The JSON text of the settings object.
         path: The path of the settings in their document; empty if they are a document of their own.
-        previous: Settings in force; what is equal in them is taken over as the same object: a class, a
-            tenant, or the whole tuple of a list.
-        errors: Collects what is wrong; by default the first error is raised.
+        previous: Settings in force; equal parts are reused as the same object: a class, a tenant,
+            or the whole tuple of a list.
+        errors: Collects the errors; by default the first error is raised.
         names_required: Each class and each tenant must have a name.
 
     Raises:
         SettingsFormatError: The settings cannot be used.
     """
     errors = errors or ValidationErrors()
-    model: SettingsModel | None = decode_value(raw, SettingsModel, path, errors)
-    yield
-    if model is not None:
-        _check_fields(model, path, errors)
-    else:  # the lists are read all the same, to find what else is wrong
-        model = _decode_lists(raw)
-        if model.classes:
-            _check_fields(model, path, errors)
+    model = yield from _read_model(raw, path, errors)
     classes = yield from read_list(
         model.classes,
         _REQUEST_CLASS,
@@ -116,11 +112,23 @@
     errors.raise_if_any()
     try:
         return to_settings(model, classes, tenants), model
-    except SettingsError as error:  # a rule of Settings that the model does not have
+    except SettingsError as error:  # `Settings` checks more than the model does
         message = printable_line(f"{path or 'settings'}: cannot be used: {error}")
         raise SettingsFormatError([message]) from None
 
 
+def _read_model(raw: Any, path: str, errors: ValidationErrors) -> Steps[SettingsModel]:
+    """Decode and check everything but the items of the long lists."""
+    model: SettingsModel | None = decode_value(raw, SettingsModel, path, errors)
+    yield
+    if model is None:  # the lists are read all the same, to report their errors too
+        model = _decode_lists(raw)
+        if not model.classes:
+            return model
+    _check_fields(model, path, errors)
+    return model
+
+
 def _decode_lists(raw: Any) -> SettingsModel:
     """Return a model with the lists that can be decoded and the default for everything else."""
     ignored = ValidationErrors(_UNLIMITED)
@@ -131,10 +139,11 @@
 
 
 def _check_fields(model: SettingsModel, path: str, errors: ValidationErrors) -> None:
-    """Check what one field requires of another."""
+    """Check rules that involve several fields."""
     if not model.classes:
         errors.add(join_path(path, CLASSES_KEY), "expected at least one")
-    index, gateways = int(model.gateway_index), int(model.gateways)
+    index = int(model.gateway_index)
+    gateways = int(model.gateways)
     if model.gateway_index >= model.gateways:
         message = f"expected a number below {GATEWAYS_KEY}, {gateways}, got {index}"
         errors.add(join_path(path, GATEWAY_INDEX_KEY), message)
--- a/load_balancer/decisions/demand.py
+++ b/load_balancer/decisions/demand.py
@@ -1,4 +1,4 @@
-"""How often requests arrive, and how much of what is asked for, by class, is served in time."""
+"""How often requests arrive, and how many of each class are served in time."""
 
 from __future__ import annotations
 
@@ -26,23 +26,23 @@
         self.last_us = 0
 
     def note_arrival(self, now_us: int) -> None:
-        """Take in one more request."""
+        """Update the interval with one more request."""
         if self.last_us:
             self.interval_us += SMOOTHING_FACTOR * (now_us - self.last_us - self.interval_us)
         self.last_us = now_us
 
     def per_endpoint_s(self, endpoint_count: int, gateways: int) -> float:
-        """Return the time between two requests of all gateways at one endpoint, if all were alike."""
+        """Return the mean time in seconds between two requests at one endpoint, from all gateways."""
         return self.interval_us / 1e6 * endpoint_count / gateways
 
 
 class Demand:
-    """First tries of late by class id.
+    """Recent first tries by class id, with decaying counts.
 
     Attributes:
         within_quota: First tries within their tenant's quota.
         over_quota: First tries beyond it.
-        served: Of the former, those served within their latency objective.
+        served: Those within quota that were served within their latency objective.
         total_within_quota: Sum of `within_quota`.
         total: Sum of both.
         changes: Changes so far to these counts or to the unloaded latency of a class.
@@ -77,8 +77,8 @@
         """Count a change to the unloaded latency of a class, by which work is measured."""
         self.changes += 1
 
-    def keep(self, classes: Mapping[int, ClassState]) -> None:
-        """Forget all classes but these."""
+    def retain(self, classes: Mapping[int, ClassState]) -> None:
+        """Drop the counts of all classes but these."""
         for counts in (self.within_quota, self.over_quota, self.served):
             for class_id in counts.keys() - classes.keys():
                 del counts[class_id]
--- a/load_balancer/decisions/endpoint.py
+++ b/load_balancer/decisions/endpoint.py
@@ -10,7 +10,7 @@
     """Whether new requests may go to an endpoint."""
 
     READY = "ready"
-    DRAINING = "draining"  # finishes what it has; nothing new may be sent to it
+    DRAINING = "draining"  # finishes its requests; no new ones may be sent to it
     GONE = "gone"  # removed from the list
 
 
@@ -20,7 +20,7 @@
     DELTA = "delta"  # changed endpoints only
     COMPLETE = "complete"  # every endpoint; one that is missing has been removed
     CACHED = "cached"  # every endpoint as this gateway last stored it, possibly stale
-    ERROR = "error"  # a poll failed or the subscription broke; the list before stands
+    ERROR = "error"  # a poll or the subscription failed; the previous list stays in use
 
 
 @dataclass(slots=True, frozen=True)
--- a/load_balancer/decisions/endpoint_state.py
+++ b/load_balancer/decisions/endpoint_state.py
@@ -1,4 +1,4 @@
-"""What this gateway knows of one endpoint, and the attempts that it has in flight there."""
+"""The state that this gateway holds of one endpoint, and its attempts in flight there."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class EndpointState:
-    """What this gateway knows of one endpoint since that last started.
+    """The state that this gateway holds of one endpoint since its last start.
 
     Attributes:
         endpoint: The endpoint as last listed.
@@ -117,10 +117,10 @@
 
 
 def breakers_for(endpoint: EndpointState, key: int) -> tuple[CircuitBreaker | None, CircuitBreaker | None]:
-    """Return the breakers that must let a request through; None stands for a closed one without outcomes.
+    """Return the breakers that must let a request through; None means a closed one without outcomes.
 
-    An endpoint that fails one class or tenant only would, with a single breaker, be kept for all requests
-    or lost to all: its few failures are hidden among the answers to the others.
+    An endpoint that fails one class or tenant only would, with a single breaker, be used for all requests
+    or ejected for all, as its few failures are hidden among the answers to the others.
     """
     breakers = endpoint.breakers
     return breakers.get(ALL_REQUESTS), breakers.get(key)
--- a/load_balancer/decisions/settings.py
+++ b/load_balancer/decisions/settings.py
@@ -1,7 +1,7 @@
-"""Settings: what an operator states of the service, as the decisions need it.
+"""Settings: the operator's description of the service, as the balancer uses it.
 
-Plain data without the wire's vocabulary; `load_balancer.config` reads it from JSON. Fields ending in `_us`
-are durations in whole microseconds. Fields marked "not used yet" arrive and are checked, but steer nothing.
+Plain data, independent of any file format; `load_balancer.config` reads it from JSON. Fields ending in `_us`
+are durations in whole microseconds. Fields marked "not used yet" are checked, but affect no decision.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Idempotency(Enum):
-    """What running a request a second time would do."""
+    """The effect of executing a request a second time."""
 
     IDEMPOTENT = "idempotent"  # nothing: it may be repeated at will
     IDEMPOTENCY_KEY = "idempotency_key"  # the endpoints of one scope drop repeats of a key for a while
@@ -57,15 +57,15 @@
     Attributes:
         latency_objective_us: An answer within this has the full priority weight.
         client_timeout_us: The client's timeout over all its tries.
-        priority_weight: What an answer in time is worth.
+        priority_weight: Value of an answer within the objective.
         late_weight_share: Share of the weight left after the objective, from 0 to 1.
-        idempotency: What running a request twice would do.
+        idempotency: The effect of executing a request twice.
         deduplication_scope: For an idempotency key: which endpoints drop repeats.
         deduplication_window_us: For an idempotency key: how long, from the sending of the first attempt.
         ordered: Requests with one key run one at a time, in order of arrival.
-        streamed: The answer is a stream. Steers nothing: the start of the stream is an event.
+        streamed: The answer is a stream. Affects no decision: the start of the stream is an event.
         latency_objective_stretch: The objective is later by this multiple of the work; not used yet.
-        name: The operator's name, empty for none.
+        name: The operator's name for it, empty for none.
 
     Raises:
         SettingsError: A number is not finite or out of its range.
@@ -97,7 +97,7 @@
     Attributes:
         quota_per_s: Requests a second over all gateways within its quota; 0 for no quota.
         share: Share of the service, from 0 to 1; not used yet.
-        name: The operator's name, empty for none.
+        name: The operator's name for it, empty for none.
 
     Raises:
         SettingsError: A number is not finite or out of its range.
@@ -113,7 +113,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Prices:
-    """What each unit of cost takes off the result. Decisions use `cross_zone`; the others are not used yet.
+    """The price of a unit of each cost. Decisions use `cross_zone`; the others are not used yet.
 
     Raises:
         SettingsError: A price is not finite or below 0.
@@ -165,27 +165,27 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """Everything an operator states.
+    """The settings of one gateway.
 
     Attributes:
         classes: The request classes; at least one.
         objective: How the parts of good service are weighed.
-        prices: What each unit of cost takes off the result.
+        prices: The price of a unit of each cost.
         weight_by_work: Priority weights count for each unit of work, not for each request.
         gateways: How many gateways share the endpoints.
         gateway_index: This gateway's own number among them, from 0.
         zone: Index of the zone that this gateway is in.
         clients_mark_retries: Clients say of a retry that it is one.
-        max_attempts: Attempts for one request at the most.
+        max_attempts: Most attempts for one request.
         may_cancel: Attempts in flight may be cancelled.
         may_hedge: Two attempts of one request may be in flight together.
-        load_dependent_weights: Listed weights sink with the load that the endpoint had a while ago.
-        key_affinity: An endpoint that served a key lately serves it for less work.
+        load_dependent_weights: Listed weights fall with the endpoint's load, with a delay.
+        key_affinity: An endpoint serves a key that it served recently with less work.
         endpoints_are_pushed: False: changes come only after `SubscribeEndpoints`.
         max_poll_interval_us: Longest time without a call to service discovery while not subscribed.
         max_retry_after_us: Longest advice to clients; 0 for none.
         slow_start_capacity: Share of its capacity that an endpoint has when it starts, from 0 to 1.
-        slow_start_us: An endpoint has its whole capacity after this.
+        slow_start_us: Time after its start until an endpoint has full capacity.
         overload_multiple: An endpoint in slow start fails when it is sent more than this times its capacity
             within `overload_window_us`.
         overload_window_us: See `overload_multiple`.
--- a/load_balancer/gateway/client_server.py
+++ b/load_balancer/gateway/client_server.py
@@ -3,8 +3,9 @@
 from __future__ import annotations
 
 import asyncio
+from operator import attrgetter
 
-from load_balancer.config.file import Config
+from load_balancer.config.gateway_config import Config
 from load_balancer.config.steps import run_to_completion
 from load_balancer.gateway.client_connection import TOO_MANY_CONNECTIONS, ClientConnection
 from load_balancer.gateway.http_message import HttpRequestError
@@ -29,7 +30,7 @@
 # Of a graceful shutdown. New connections go on coming for 0.4 s after a planned restart has begun.
 ACCEPT_GRACE_S = 0.5
 REQUEST_GRACE_S = 0.6
-PARTIAL_REQUEST_GRACE_S = 0.1  # for the rest of a request that has come in part
+PARTIAL_REQUEST_GRACE_S = 0.1  # for the rest of a request received in part
 UNREAD_ANSWER_GRACE_S = 3.0  # for a client to read the answers that it has been sent
 SHUTDOWN_POLL_S = 0.01
 
@@ -38,17 +39,18 @@
     """Accepts connections from clients.
 
     Attributes:
-        lookup: What requests may name.
+        lookup: Indexes of classes and tenants by name.
         limit: How many connections are served at once.
-        connections: All that are open.
+        connections: All open connections.
         draining: Whether a graceful shutdown has begun.
         listener: None until the start.
     """
 
     def __init__(self, config: Config, proxy: Proxy, loop: asyncio.AbstractEventLoop) -> None:
-        self.proxy, self.loop = proxy, loop
+        self.proxy = proxy
+        self.loop = loop
         self.lookup = run_to_completion(lookup_steps(config))
-        self.limit = client_connection_limit(config.sockets)
+        self.limit = client_connection_limit(config.max_sockets)
         self.connections: set[ClientConnection] = set()
         self.draining = False
         self.listener: asyncio.Server | None = None
@@ -69,11 +71,11 @@
     # Limits
 
     def add(self, connection: ClientConnection) -> None:
-        """Take in a new connection, within the file descriptors that there are.
+        """Register a new connection, within the limit on file descriptors.
 
         Over the limit an idle connection is closed; where there is none, the new one is answered 503. Of
-        those that are answered 503, the oldest that has sent no request is closed first. So idle clients,
-        however many, do not keep a new one from asking whether the gateway is ready.
+        those that are answered 503, the oldest that has sent no request is closed first. So any number
+        of idle clients cannot block a readiness check on a new connection.
         """
         excess = len(self.connections) - self.limit
         if excess >= 0:
@@ -86,16 +88,22 @@
 
     def _make_room(self, connection: ClientConnection, excess: int) -> None:
         idle_since = self.loop.time() - EVICTION_IDLE_S
-        evictable = [c for c in self.connections if c.is_evictable and c.last_activity <= idle_since]
+        evictable = [
+            open_connection
+            for open_connection in self.connections
+            if open_connection.is_evictable and open_connection.last_activity <= idle_since
+        ]
         connection.is_over_limit = not evictable
         if excess >= REJECTED_CONNECTIONS and not evictable:
             evictable = [
-                c
-                for c in self.connections
-                if c.is_evictable and c.is_over_limit and not c.reader.has_read_request
+                open_connection
+                for open_connection in self.connections
+                if open_connection.is_evictable
+                and open_connection.is_over_limit
+                and not open_connection.reader.has_read_request
             ]
         if evictable:
-            min(evictable, key=lambda c: c.last_activity).close_when_idle()
+            min(evictable, key=attrgetter("last_activity")).close_when_idle()
         if excess >= REJECTED_CONNECTIONS + (CLOSING_CONNECTIONS if evictable else 0):
             connection.write(TOO_MANY_CONNECTIONS.encode(close=True))
             connection.close()
@@ -103,7 +111,7 @@
     # Timeouts
 
     def sweep(self) -> None:
-        """Close connections past their idle timeout; answer requests that have not come whole in time."""
+        """Close connections past their idle timeout; answer requests that were not received whole in time."""
         now = self.loop.time()
         for connection in list(self.connections):
             if connection.is_idle:
@@ -123,10 +131,10 @@
     # Graceful shutdown
 
     async def drain(self) -> None:
-        """Take what still comes, answer all of it and close."""
+        """Shut down gracefully: accept and answer requests for a grace period, then close."""
         self.draining = True
         await asyncio.sleep(ACCEPT_GRACE_S)
-        for _ in range(2):  # turns of the loop, in which it accepts what has connected by now
+        for _ in range(2):  # turns of the loop, in which it accepts pending connections
             await asyncio.sleep(0)
         self.stop_listening()
         await asyncio.sleep(REQUEST_GRACE_S - ACCEPT_GRACE_S)
@@ -138,7 +146,7 @@
             self.listener.close()
 
     async def close_connections(self) -> None:
-        """Close each connection once nothing is owed on it, and wait for the last."""
+        """Close each connection once no answer is pending on it, and wait for the last."""
         began = self.loop.time()
         while self.connections:
             waited_s = self.loop.time() - began
@@ -147,10 +155,10 @@
             await asyncio.sleep(SHUTDOWN_POLL_S)
 
     def _close_if_over(self, connection: ClientConnection, waited_s: float) -> None:
-        if waited_s > UNREAD_ANSWER_GRACE_S and not connection.is_owed_answer:
+        if waited_s > UNREAD_ANSWER_GRACE_S and not connection.has_pending_answer:
             connection.abort()
         elif connection.is_idle:
             connection.close_when_idle()
         elif connection.is_mid_only_request and waited_s > PARTIAL_REQUEST_GRACE_S:
-            # An answer instead of a close: the rest may have come by now, and would be lost.
+            # Answered rather than closed: the rest may have arrived by now and would be lost.
             connection.reject_partial_request(HttpRequestError(503, "ending; trying again is harmless"))
--- a/load_balancer/gateway/discovery_messages.py
+++ b/load_balancer/gateway/discovery_messages.py
@@ -1,4 +1,4 @@
-"""Discovery's JSON and its translation into typed watch events; its words are used in this module alone."""
+"""Discovery's JSON and its translation into typed watch events; its field names are used only here."""
 
 from __future__ import annotations
 
@@ -10,7 +10,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from load_balancer.config.file import Address, ConfigError, NameTable, parse_address
+from load_balancer.config.addresses import Address, parse_address
+from load_balancer.config.errors import ConfigError
+from load_balancer.config.gateway_config import NameTable
 from load_balancer.decisions.endpoint import Endpoint, EndpointStatus, ListKind
 from load_balancer.decisions.events import EndpointListReceived
 from load_balancer.errors import LoadBalancerError
@@ -31,7 +33,7 @@
 
     Attributes:
         name: The endpoint's name at discovery.
-        endpoint: What the balancer knows of it.
+        endpoint: The endpoint as passed to the balancer.
         address: Where it accepts connections.
     """
 
@@ -96,7 +98,7 @@
         weight=weight,
         zone=names.zones.index(raw["zone"]) if names.zones else 0,
         group=int(raw.get("group", 0)),
-        kind=names.kinds.index(raw["type"]) if names.kinds else 0,
+        kind=names.endpoint_kinds.index(raw["type"]) if names.endpoint_kinds else 0,
         started_us=started_ms * 1000,
     )
     return DiscoveredEndpoint(name, endpoint, parse_address(raw["address"]))
@@ -178,7 +180,7 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """The size of what has not ended yet, without its newlines."""
+        """Bytes of incomplete lines and objects, without newlines."""
         return self._partial_line_bytes + self._message_bytes
 
     def feed(self, data: bytes) -> list[bytes]:
@@ -186,7 +188,8 @@
         *lines, rest = data.split(b"\n")
         if lines:
             lines[0] = b"".join((*self._partial_line, lines[0]))
-            self._partial_line, self._partial_line_bytes = [], 0
+            self._partial_line = []
+            self._partial_line_bytes = 0
         if rest:
             self._partial_line.append(rest)
             self._partial_line_bytes += len(rest)
@@ -213,7 +216,9 @@
 
     def _take_message(self) -> bytes:
         message = b"\n".join(self._message_lines)
-        self._message_lines, self._message_bytes, self._depth = [], 0, 0
+        self._message_lines = []
+        self._message_bytes = 0
+        self._depth = 0
         return message
 
 
--- a/load_balancer/gateway/event_log.py
+++ b/load_balancer/gateway/event_log.py
@@ -49,12 +49,12 @@
 
 
 def flush() -> None:
-    """Log the repeats that have been counted and not been logged yet."""
+    """Log the repeats that have been counted but not logged."""
     _repeat_counter.flush()
 
 
 def configure_logging(environ: Mapping[str, str]) -> None:
-    """Log to standard error from here on, what libraries log too."""
+    """Send this package's log events and those of libraries to standard error."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(make_formatter(environ))
     logging.getLogger(LOGGER_NAME).addHandler(handler)
@@ -76,7 +76,7 @@
 
 
 class LibraryHandler(logging.Handler):
-    """Turns what libraries log into events."""
+    """Logs the records of libraries as `library.message` events."""
 
     def emit(self, record: logging.LogRecord) -> None:
         """Log a record of another logger at the registered level next below its own."""
@@ -140,7 +140,9 @@
 
 def _write(event: RegisteredEvent, fields: Fields) -> None:
     level = fields.get("level", event.level)  # a library's event has the level of its record
-    _logger.log(cast(int, level), event.name, **{k: v for k, v in fields.items() if k != "level"})
+    _logger.log(
+        cast(int, level), event.name, **{key: value for key, value in fields.items() if key != "level"}
+    )
 
 
 _repeat_counter = RepeatCounter(_write, asyncio.get_running_loop)
--- a/load_balancer/gateway/log_fields.py
+++ b/load_balancer/gateway/log_fields.py
@@ -1,10 +1,10 @@
-"""Fields of log events, with names in place of the balancer's numbers."""
+"""Fields of log events, with names in place of the balancer's ids."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Mapping
 
-from load_balancer.config.file import NameTable
+from load_balancer.config.gateway_config import NameTable
 from load_balancer.decisions.settings_version import SettingsVersion
 from load_balancer.gateway.request_ledger import PendingRequest
 
@@ -13,7 +13,7 @@
     """Makes the fields of log events.
 
     Attributes:
-        names: Of the settings in force.
+        names: Names of the settings in force.
     """
 
     def __init__(
@@ -22,10 +22,10 @@
         settings_version: Callable[[], SettingsVersion],
         authority: Callable[[int], bytes],
     ) -> None:
-        """Create it.
+        """Create the resolver.
 
         Args:
-            names: Of the settings in force.
+            names: Names of the settings in force.
             settings_version: Returns the version in force.
             authority: Returns the address of an endpoint by its id, or nothing.
         """
@@ -36,16 +36,17 @@
     def resolve(self, fields: Iterable[tuple[str, object]]) -> dict[str, object]:
         """Return the fields with names of class and tenant for their numbers, and an endpoint's address."""
         resolved = dict(fields)
-        version, names = self._settings_version(), self.names
+        version = self._settings_version()
+        names = self.names
         tables = (
             ("request_class", version.class_ids, names.classes),
             ("tenant", version.tenant_ids, names.tenants),
         )
-        for name, known, texts in tables:
+        for name, ids, id_names in tables:
             number = resolved.get(name)
-            if isinstance(number, int) and texts and number in known:
-                resolved[name] = texts[known.index(number)]
-            elif not texts:  # a deployment without tenants
+            if isinstance(number, int) and id_names and number in ids:
+                resolved[name] = id_names[ids.index(number)]
+            elif not id_names:  # a deployment without tenants
                 resolved.pop(name, None)
         endpoint_id = resolved.get("endpoint_id")
         if isinstance(endpoint_id, int) and (address := self._authority(endpoint_id)):
@@ -57,7 +58,7 @@
         return self.resolve(_request_fields(request.id, request).items())
 
     def of_subject(self, subject: object, pending: Mapping[str, PendingRequest]) -> dict[str, object]:
-        """Return the fields of what an event or an action is about, as far as they are known."""
+        """Return the fields of the request and the endpoint that an event or an action concerns, if known."""
         request_id = getattr(subject, "request_id", None)
         request = pending.get(request_id) if request_id is not None else None
         fields = {"request_id": request_id, "endpoint_id": getattr(subject, "endpoint_id", None)}
@@ -66,7 +67,8 @@
 
 
 def _request_fields(request_id: object, request: PendingRequest) -> dict[str, object]:
-    names, client_request = request.names, request.client_request
+    names = request.names
+    client_request = request.client_request
     fields: dict[str, object] = {
         "request_id": request_id,
         "request_class": names.classes[client_request.request_class],
--- a/load_balancer/gateway/proxy.py
+++ b/load_balancer/gateway/proxy.py
@@ -1,7 +1,7 @@
-"""Drives one Balancer: events go in, and the actions that come out are executed in order.
+"""Connects one Balancer to the network: passes it events and executes its actions in order.
 
-Nothing is decided here. Exceptions are contained: one of them ends neither the process nor, unanswered, the
-request that it concerns.
+Nothing is decided here. An exception from a decision or an action is logged, and the request that it concerns
+is answered with 500.
 """
 
 from __future__ import annotations
@@ -9,7 +9,8 @@
 import asyncio
 from collections.abc import Callable
 
-from load_balancer.config.file import Address, Config
+from load_balancer.config.addresses import Address
+from load_balancer.config.gateway_config import Config
 from load_balancer.decisions.actions import (
     Action,
     Cancel,
@@ -58,17 +59,19 @@
 
     Attributes:
         config: The configuration as last read.
-        settings: Those in force.
-        balancer: Decides.
-        ledger: The requests that have been accepted.
+        settings: The settings in force.
+        balancer: Makes all decisions.
+        ledger: The pending requests.
         upstream: Connections to endpoints.
-        discovery: Where endpoints come from.
-        peers: Messages of other gateways.
+        discovery: Client of service discovery.
+        peers: Messages to and from other gateways.
     """
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
         settings = config.settings
-        self.config, self.settings, self.loop = config, settings, loop
+        self.config = config
+        self.settings = settings
+        self.loop = loop
         self.clock = Clock()
         self.balancer = Balancer(settings, config.seed)
         self._dispatcher = EventDispatcher(
@@ -76,7 +79,7 @@
         )
         self.upstream = UpstreamPool(
             loop,
-            limit=upstream_connection_limit(config.sockets),
+            limit=upstream_connection_limit(config.max_sockets),
             connect_timeout_us=settings.connect_timeout_us,
             idle_timeout_us=settings.idle_connection_timeout_us,
         )
@@ -105,12 +108,12 @@
         """
         if self.settings.may_message_peers and self.config.peer_listen is not None:
             await self.peers.open(self.loop, self.config.peer_listen)
-        self.discovery.start(self.config.known)
-        self.config.known.clear()  # parsed by now: the text of thousands of endpoints need not stay in memory
+        self.discovery.start(self.config.cached_endpoint_list)
+        self.config.cached_endpoint_list.clear()  # parsed by now; frees the memory of thousands of entries
         self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
     def sweep(self) -> None:
-        """Do what is due every second."""
+        """Do the periodic work, every `SWEEP_INTERVAL_S`."""
         self.upstream.sweep()
         self._log_suppressed()
         self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
@@ -145,7 +148,7 @@
     # Events in, actions out
 
     def dispatch(self, event: Event) -> None:
-        """Hand an event to the balancer and execute what it asks for."""
+        """Pass an event to the balancer and execute the actions that it returns."""
         self._dispatcher.dispatch(event)
 
     def _decision_failed(self, event: Event, error: Exception) -> None:
@@ -159,7 +162,7 @@
         self.ledger.answer_internal_error(getattr(action, "request_id", None))
 
     def execute(self, action: Action) -> None:
-        """Do what the balancer asks for."""
+        """Execute an action."""
         match action:
             case Send():
                 self._send(action)
@@ -215,7 +218,7 @@
         if suppressed:
             log_event("balancer.suppressed", suppressed=suppressed)
 
-    # What the network brings
+    # Events from the network
 
     def accept(
         self,
@@ -227,7 +230,8 @@
         if 0 < self.settings.max_open_requests <= self.ledger.unanswered:
             send_answer(text_response(503, "too many requests"))
             return None
-        version, names = self.settings_version, self._log_fields.names
+        version = self.settings_version
+        names = self._log_fields.names
         request = self.ledger.accept(client_request, version, names, send_answer, has_disconnected)
         self.dispatch(request.arrival())
         return request
@@ -249,7 +253,7 @@
     """Return the answer to a request that is rejected.
 
     Args:
-        retry_after_us: When to try again; 0 or less if that is not said.
+        retry_after_us: Time after which to retry, in microseconds; 0 or less to omit the header.
     """
     headers = ((b"retry-after", b"%.3f" % (retry_after_us / 1e6)),) if retry_after_us > 0 else ()
     return text_response(503, "refused; trying again is harmless", *headers)
--- a/load_balancer/gateway/reload.py
+++ b/load_balancer/gateway/reload.py
@@ -1,4 +1,4 @@
-"""Reloading of the configuration: read beside the traffic, in small steps, and applied at once."""
+"""Reloading of the configuration: read in small steps between other work, and applied in one turn."""
 
 from __future__ import annotations
 
@@ -6,18 +6,21 @@
 import ctypes
 import gc
 import os
-from collections.abc import Callable, Generator, Mapping
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 from typing import TypeVar
 
-from load_balancer.config.file import Config, ConfigError, read_steps
+from load_balancer.config.errors import ConfigError
+from load_balancer.config.file import read_steps
+from load_balancer.config.gateway_config import Config
+from load_balancer.config.steps import Steps
 from load_balancer.decisions.settings_version import SettingsVersion, next_version
 from load_balancer.gateway.client_server import ClientServer
 from load_balancer.gateway.event_log import log_event
 from load_balancer.gateway.proxy import Proxy
 from load_balancer.gateway.request_parsing import lookup_steps
 
-T = TypeVar("T")
+Result = TypeVar("Result")
 
 LOGGED_DIGEST_CHARACTERS = 12
 
@@ -27,7 +30,7 @@
     """A setting that only a new process can change.
 
     Attributes:
-        path: Where it stands in the file.
+        path: Its JSON path in the file.
         value_in: Returns its value in a configuration.
     """
 
@@ -40,12 +43,12 @@
 RESTART_ONLY_SETTINGS = (
     RestartOnlySetting("name", lambda config: config.name),
     RestartOnlySetting("listen", lambda config: config.listen),
-    RestartOnlySetting("limits.sockets", lambda config: config.sockets),
+    RestartOnlySetting("limits.sockets", lambda config: config.max_sockets),
     RestartOnlySetting("peer_listen", lambda config: config.peer_listen),
     RestartOnlySetting("settings.index", lambda config: config.settings.gateway_index),
     RestartOnlySetting("settings.zone", lambda config: config.settings.zone),
     RestartOnlySetting("settings.zones", lambda config: config.names.zones),
-    RestartOnlySetting("settings.shapes", lambda config: config.names.kinds),
+    RestartOnlySetting("settings.shapes", lambda config: config.names.endpoint_kinds),
     RestartOnlySetting("settings.membershipMode", lambda config: config.settings.endpoints_are_pushed),
     RestartOnlySetting("settings.stage", lambda config: (config.settings.tier, config.settings.tiers)),
 )
@@ -57,10 +60,10 @@
 
 
 class ConfigReloader:
-    """Reads the configuration file when asked to, one reading at a time, and applies what has changed.
+    """Reads the configuration file on request, once at a time, and applies what has changed.
 
-    Between two steps of a reading the loop does other work. Asked again during a reading, it reads once more
-    afterwards, so that the file's last content is what is in force in the end.
+    The loop does other work between two steps. A request during a reading causes another one afterwards, so
+    that the last content of the file is applied in the end.
 
     Args:
         config: The configuration in force.
@@ -89,7 +92,7 @@
         return self._task is not None
 
     def request_reload(self) -> None:
-        """Read the file, which has been replaced."""
+        """Request that the file be read again."""
         self._is_requested = True
         if self._task is None:
             self._task = self._proxy.loop.create_task(self._reload_while_requested())
@@ -108,13 +111,13 @@
             self._task = None
 
     async def _reload(self) -> None:
-        gc.disable()  # a full collection would visit all that is being read, in one step of some milliseconds
+        gc.disable()  # a full collection of the objects being read would block the loop for milliseconds
         try:
             await self._read_and_apply()
         except ConfigError as error:
             log_event("config.rejected", error=error, settings_version=self._proxy.settings_version.number)
         finally:
-            gc.enable()  # nothing is left to collect: what the reading drops is freed by its reference count
+            gc.enable()  # no garbage is left: the reading makes no reference cycles
         trim_heap()
 
     async def _read_and_apply(self) -> None:
@@ -127,8 +130,8 @@
                 f"{changes[0].path} differs: expected {expected}, which only a new process can change"
             )
         version = self._proxy.settings_version
-        digest = config.content[:LOGGED_DIGEST_CHARACTERS]
-        if config.content == before.content:
+        digest = config.settings_digest[:LOGGED_DIGEST_CHARACTERS]
+        if config.settings_digest == before.settings_digest:
             log_event("config.unchanged", settings_version=version.number, settings_digest=digest)
         else:
             version = await self._apply_settings(config)
@@ -140,7 +143,7 @@
     async def _apply_settings(self, config: Config) -> SettingsVersion:
         version = await run_cooperatively(next_version(self._proxy.settings_version, config.settings))
         lookup = await run_cooperatively(lookup_steps(config, self._client_server.lookup))
-        # In one turn of the loop: a request is read by the names and the settings of one version.
+        # Both in one turn of the loop, so that a request sees names and settings of one version.
         self._proxy.apply_settings(config, version)
         self._client_server.lookup = lookup
         return version
@@ -149,19 +152,19 @@
 def trim_heap() -> None:
     """Return freed memory to the system, where the C library can.
 
-    Otherwise the process would keep what one reading took for some milliseconds.
+    Otherwise the process would keep the memory that a reading used only briefly.
     """
     trim = getattr(ctypes.CDLL(None), "malloc_trim", None)
     if trim is not None:
         trim(0)
 
 
-async def run_cooperatively(steps: Generator[None, None, T]) -> T:
+async def run_cooperatively(steps: Steps[Result]) -> Result:
     """Run steps with a turn of the loop after each; returns their result."""
     while True:
         try:
             next(steps)
         except StopIteration as end:
-            result: T = end.value
+            result: Result = end.value
             return result
         await asyncio.sleep(0)
--- a/load_balancer/gateway/upstream_pool.py
+++ b/load_balancer/gateway/upstream_pool.py
@@ -1,4 +1,4 @@
-"""Keep-alive connections to the endpoints that discovery has named."""
+"""Pools of keep-alive connections to the listed endpoints."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from load_balancer.config.file import Address
+from load_balancer.config.addresses import Address
 from load_balancer.decisions.endpoint import EndpointStatus
 from load_balancer.decisions.events import Outcome
 from load_balancer.gateway.upstream_attempt import AttemptCallback, UpstreamAttempt
@@ -30,8 +30,8 @@
 
     Attributes:
         now: The loop's clock, in seconds.
-        connect_timeout_s: Until a connection that has not come up is given up.
-        idle_timeout_s: How long a connection may stand idle.
+        connect_timeout_s: Timeout for opening a connection.
+        idle_timeout_s: How long a connection may be idle.
         reuse_delay_s: Until a connection that has become idle may be used again.
     """
 
@@ -49,7 +49,7 @@
         address: Where the endpoint is.
         timing: Shared by all pools.
         open_connections: Those to all endpoints, busy, idle or coming up; shared by all pools.
-        draining: Whether the endpoint drains or is gone, so that nothing new is sent to it.
+        draining: Whether the endpoint is draining or removed, so that no new request is sent to it.
         idle: Connections that carry no attempt, the one used last at the end.
     """
 
@@ -93,12 +93,13 @@
             self.idle.remove(connection)
 
     def retire(self) -> None:
-        """Close what has not been used: the endpoint drains, is gone or has moved.
+        """Close unused connections, as the endpoint is draining, was removed or has a new address.
 
-        Attempts that wait for a connection end now, while there is time to try another endpoint.
+        Attempts that wait for a connection fail now, while there is time to try another endpoint.
         """
-        for connection in [c for c in self.open_connections if c.owner is self and c.is_unused]:
-            connection.fail()
+        for connection in list(self.open_connections):
+            if connection.owner is self and connection.is_unused:
+                connection.fail()
 
     def close_idle(self, idle_since_before: float | None = None) -> None:
         """Close the idle connections, or only those that have been idle since before a loop time."""
@@ -133,7 +134,7 @@
         self.set_timeouts(connect_timeout_us, idle_timeout_us)
 
     def set_timeouts(self, connect_timeout_us: int, idle_timeout_us: int) -> None:
-        """Set the time to connect and the endpoints' idle timeout; 0 stands for the default."""
+        """Set the time to connect and the endpoints' idle timeout; 0 means the default."""
         idle_timeout_s = idle_timeout_us / 1e6 or DEFAULT_IDLE_TIMEOUT_S
         self.timing.connect_timeout_s = connect_timeout_us / 1e6 or DEFAULT_CONNECT_TIMEOUT_S
         self.timing.idle_timeout_s = idle_timeout_s * IDLE_TIMEOUT_SHARE
@@ -182,9 +183,9 @@
         Args:
             endpoint_id: Where it goes.
             payload: The request's bytes.
-            timeout_s: Until it is given up.
+            timeout_s: Timeout of the attempt, in seconds.
             on_end: Called exactly once, with the outcome and the response if there is one.
-            is_wanted: Whether to send it still, once a new connection has come up.
+            is_wanted: Returns whether to send it still, once a new connection is open.
         """
         attempt = UpstreamAttempt(self._loop, payload, on_end, is_wanted)
         endpoint = self.endpoints.get(endpoint_id)
@@ -210,7 +211,7 @@
             endpoint.close_idle()
 
     def sweep(self) -> None:
-        """Close connections past their idle timeout and forget endpoints that drain or are gone."""
+        """Close connections past their idle timeout and forget endpoints that are draining or removed."""
         oldest = self.timing.now() - self.timing.idle_timeout_s
         for endpoint_id, endpoint in list(self.endpoints.items()):
             if endpoint.idle:
--- a/tests/gateway/reload_helpers.py
+++ b/tests/gateway/reload_helpers.py
@@ -13,7 +13,8 @@
 import pytest
 
 from load_balancer.config import file as configs
-from load_balancer.config.file import Config, read_steps
+from load_balancer.config.file import read_steps
+from load_balancer.config.gateway_config import Config
 from load_balancer.gateway import reload
 from load_balancer.gateway.reload import ConfigReloader
 from tests.sockets import (
@@ -68,8 +69,8 @@
         path.write_text(json.dumps(raw))
         environ: Mapping[str, str] = {"ROUTER_CONFIG": str(path)}
         loaded = configs.load_config(environ)
-        loaded.known.clear()
-        reloader = ConfigReloader(loaded, it.proxy, it.downstream, environ)
+        loaded.cached_endpoint_list.clear()
+        reloader = ConfigReloader(loaded, it.proxy, it.client_server, environ)
         try:
             yield ReloadableGateway(it, reloader, path, raw)
         finally:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -15,7 +15,8 @@
 
 import load_balancer
 from load_balancer.cli import command
-from load_balancer.config.file import ConfigError, load_config
+from load_balancer.config.errors import ConfigError
+from load_balancer.config.file import load_config
 from tests.config.examples import BAD_FILES, EXAMPLE, VALID, load
 
 
@@ -85,7 +86,9 @@
 def test_show_prints_a_file_of_the_same_configuration(short_file: Path) -> None:
     for file in (short_file, EXAMPLE):
         again = load(call("show", file).stdout)
-        assert replace(again, content="", known={}) == replace(load(file.read_bytes()), content="", known={})
+        assert replace(again, settings_digest="", cached_endpoint_list={}) == replace(
+            load(file.read_bytes()), settings_digest="", cached_endpoint_list={}
+        )
 
 
 def test_diff_of_a_file_with_itself_names_nothing() -> None:
