--- a/load_balancer/decisions/subset.py
+++ b/load_balancer/decisions/subset.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
+from collections.abc import Iterable, Sequence
 
 from load_balancer.decisions.circuit_breaker import ALL_REQUESTS
 from load_balancer.decisions.endpoint import EndpointStatus
@@ -97,9 +97,13 @@
         return selected
 
     def select_for_retry(
-        self, by_rank: Sequence[EndpointState], request: Request, now_us: int, overdue_us: float,
+        self,
+        by_rank: Sequence[EndpointState],
+        request: Request,
+        now_us: int,
+        overdue_us: float,
         settings: Settings,
-    ) -> list[EndpointState]:  # fmt: skip
+    ) -> list[EndpointState]:
         """Return the endpoints that a further attempt may go to: none twice, none that repeats the effect.
 
         Args:
@@ -119,16 +123,29 @@
             return []
         if now_us - ran[0].sent_us >= terms.deduplication_window_us:
             return []
+        # The subset may hold no endpoint of the scope in which it may have run, so all are searched.
         scopes = {scope_of(terms.deduplication_scope, attempt.endpoint) for attempt in ran}
-        # The subset may hold no endpoint of that scope, so all are searched.
-        size = self.size
+        in_scope = (
+            (index, endpoint)
+            for index, endpoint in enumerate(by_rank)
+            if endpoint not in tried and scopes == {scope_of(terms.deduplication_scope, endpoint)}
+        )
+        return self._first_eligible(in_scope, request.breaker_key, now_us, overdue_us, settings)
+
+    def _first_eligible(
+        self,
+        ranked: Iterable[tuple[int, EndpointState]],
+        key: int,
+        now_us: int,
+        overdue_us: float,
+        settings: Settings,
+    ) -> list[EndpointState]:
+        """Return the first eligible endpoints of those given, at most `MAX_RETRY_CANDIDATES`."""
         candidates: list[EndpointState] = []
-        for index, endpoint in enumerate(by_rank):
+        for index, endpoint in ranked:
             if len(candidates) >= MAX_RETRY_CANDIDATES:
                 break
-            if endpoint in tried or scopes != {scope_of(terms.deduplication_scope, endpoint)}:
-                continue
-            eligible = is_eligible(endpoint, request.breaker_key, now_us, overdue_us)
-            if eligible and (index < size or capacity_share(endpoint, now_us, settings) >= 1.0):
+            eligible = is_eligible(endpoint, key, now_us, overdue_us)
+            if eligible and (index < self.size or capacity_share(endpoint, now_us, settings) >= 1.0):
                 candidates.append(endpoint)
         return candidates
