--- a/tests/config/examples.py
+++ b/tests/config/examples.py
@@ -10,12 +10,12 @@
 
 from load_balancer.config.file import CONFIG_LIMIT, Config, load_config, read_steps
 from load_balancer.config.steps import run_to_completion
+from tests.gateway.stub_discovery import endpoint_entry
 from tests.gateway.test_process_start import INVALID_CONFIGURATIONS
-from tests.sockets import entry
 
 EXAMPLE = Path(__file__).parent.parent.parent / "deploy" / "example.json"
 VALID = json.loads(EXAMPLE.read_text())
-VALID["known"]["endpoints"] = [entry("h0", "127.0.0.1:1")]
+VALID["known"]["endpoints"] = [endpoint_entry("h0", "127.0.0.1:1")]
 VALID["peers"] = ["127.0.0.1:2"]
 
 TRUNCATED = EXAMPLE.read_bytes().partition(b'"multiplex"')[0]
--- /dev/null
+++ b/tests/gateway/configurations.py
@@ -0,0 +1,56 @@
+"""Configurations of gateways under test, as the documents that the parser reads."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from tests.gateway.stub_discovery import endpoint_entry
+
+
+def request_class_settings(name: str, effect: str) -> dict[str, object]:
+    return {
+        "name": name,
+        "effect": effect,
+        "group": "all",
+        "windowUs": 60_000_000,
+        "aimUs": 60_000_000,
+        "giveUpUs": 60_000_000,
+        "lateValue": 1.0,
+    }
+
+
+def settings(**caps: object) -> dict[str, object]:
+    return {
+        "lanes": [
+            request_class_settings("look", "free"),
+            request_class_settings("pay", "guarded"),
+            request_class_settings("buy", "single_shot"),
+        ],
+        "zones": ["a", "b"],
+        "shapes": ["m1"],
+        "membershipMode": "on_request",
+        "caps": {
+            "maxAttempts": 1,
+            "mayCancel": True,
+            "connectTimeoutUs": 20_000_000,
+            "keepaliveUs": 60_000_000,
+            **caps,
+        },
+        "contract": {"mustAskInUs": 100_000, "stopSendingWithinUs": 0},
+    }
+
+
+def configuration(endpoints: dict[str, str], discovery_address: str, **changed: Any) -> dict[str, Any]:
+    return {
+        "name": "n0",
+        "listen": "127.0.0.1:0",
+        "discovery": discovery_address,
+        "seed": "1f",
+        "limits": {"sockets": 1024},
+        "known": {
+            "index": 7,
+            "endpoints": [endpoint_entry(name, address) for name, address in endpoints.items()],
+        },
+        "settings": settings(),
+        **changed,
+    }
--- a/tests/gateway/conftest.py
+++ b/tests/gateway/conftest.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.sockets import run
+from tests.gateway.event_loop import run_in_event_loop
 
 
 @pytest.hookimpl(tryfirst=True)
@@ -15,5 +15,5 @@
     if not inspect.iscoroutinefunction(pyfuncitem.obj):
         return None
     names = inspect.signature(pyfuncitem.obj).parameters
-    run(pyfuncitem.obj(**{name: pyfuncitem.funcargs[name] for name in names}))
+    run_in_event_loop(pyfuncitem.obj(**{name: pyfuncitem.funcargs[name] for name in names}))
     return True
--- a/tests/gateway/discovery_helpers.py
+++ b/tests/gateway/discovery_helpers.py
@@ -10,31 +10,32 @@
 from load_balancer.decisions.endpoint import ListKind
 from load_balancer.decisions.events import EndpointListReceived
 from load_balancer.gateway.discovery_messages import endpoint_id_of
-from tests.sockets import Gateway, Registry, gateway
+from tests.gateway.running_gateway import RunningGateway, running_gateway
+from tests.gateway.stub_discovery import StubDiscovery
 
 
 @asynccontextmanager
-async def watched(**changed: Any) -> AsyncIterator[tuple[Gateway, asyncio.StreamWriter]]:
+async def watched(**changed: Any) -> AsyncIterator[tuple[RunningGateway, asyncio.StreamWriter]]:
     """A gateway that has its cached list, and discovery's side of its first watch."""
-    async with gateway(**changed) as it:
-        await next_list(it)
-        _, watch = await it.registry.watches.get()
-        yield it, watch
+    async with running_gateway(**changed) as gateway:
+        await next_list(gateway)
+        _, watch = await gateway.discovery.watches.get()
+        yield gateway, watch
 
 
 @asynccontextmanager
-async def other_registry() -> AsyncIterator[Registry]:
+async def other_discovery() -> AsyncIterator[StubDiscovery]:
     """Discovery at another address."""
-    registry = Registry()
-    await registry.start()
+    discovery = StubDiscovery()
+    await discovery.start()
     try:
-        yield registry
+        yield discovery
     finally:
-        registry.stop()
+        discovery.stop()
 
 
-async def next_list(it: Gateway) -> tuple[ListKind, list[str]]:
+async def next_list(gateway: RunningGateway) -> tuple[ListKind, list[str]]:
     """The next list event: its kind and its endpoints' states, by name."""
-    event = await it.event(EndpointListReceived)
+    event = await gateway.wait_for_event(EndpointListReceived)
     names = {endpoint_id_of(f"h{n}"): f"h{n}" for n in range(9)}
     return event.kind, [f"{names[s.id]} {s.status.value}" for s in event.endpoints]
--- /dev/null
+++ b/tests/gateway/http_client.py
@@ -0,0 +1,48 @@
+"""A client of the gateway on one connection, and the requests that it sends."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass
+
+from tests.gateway.stub_server import Headers, read_message
+
+
+def encode_request(
+    request_class: str = "look", method: str = "", body: bytes = b"", **headers: str | None
+) -> bytes:
+    """A request of the class; a header of None is left out."""
+    lines: dict[str, str | None] = {
+        "Host": "service.internal",
+        "Request-Id": "0123abcd",
+        "Request-Class": request_class,
+        "Request-Timeout-Ms": "30000",
+        "Content-Length": str(len(body)) if body else None,
+        "Idempotency-Key": "77" if request_class == "pay" else None,
+    }
+    lines |= {name.replace("_", "-"): value for name, value in headers.items()}
+    head = "".join(f"{name}: {value}\r\n" for name, value in lines.items() if value is not None)
+    method = method or ("GET" if request_class == "look" else "POST")
+    return f"{method} /{request_class}?user=00ff HTTP/1.1\r\n{head}\r\n".encode() + body
+
+
+@dataclass
+class HttpClient:
+    """One connection to the gateway."""
+
+    reader: asyncio.StreamReader
+    writer: asyncio.StreamWriter
+
+    def send(self, data: bytes) -> None:
+        self.writer.write(data)
+
+    async def read_response(self) -> tuple[int, Headers, bytes]:
+        first, head, body = await read_message(self.reader)
+        return int(first.split()[1]), head, body
+
+    async def request(self, data: bytes) -> tuple[int, Headers, bytes]:
+        self.send(data)
+        return await self.read_response()
+
+    async def is_closed(self) -> bool:
+        return await self.reader.read() == b""
--- a/tests/gateway/process_helpers.py
+++ b/tests/gateway/process_helpers.py
@@ -12,12 +12,10 @@
 from contextlib import asynccontextmanager
 from pathlib import Path
 
-from tests.sockets import (
-    Client,
-    Registry,
-    StubEndpoint,
-    configuration,
-)
+from tests.gateway.configurations import configuration
+from tests.gateway.http_client import HttpClient
+from tests.gateway.stub_discovery import StubDiscovery
+from tests.gateway.stub_endpoint import StubEndpoint
 
 
 def run_process(path: Path | str, **environ: str) -> subprocess.CompletedProcess[str]:
@@ -47,30 +45,30 @@
     return child, child.stderr
 
 
-async def connect(port: int) -> Client:
-    return Client(*await asyncio.open_connection("127.0.0.1", port))
+async def connect(port: int) -> HttpClient:
+    return HttpClient(*await asyncio.open_connection("127.0.0.1", port))
 
 
-async def expect_last_answer(client: Client, status: int = 200) -> None:
+async def expect_last_answer(client: HttpClient, status: int = 200) -> None:
     """The answer says that the connection closes, and it does."""
-    actual, head, _ = await client.answer()
+    actual, head, _ = await client.read_response()
     assert actual == status
     assert head["connection"] == "close"
-    assert await client.closed()
+    assert await client.is_closed()
 
 
 @asynccontextmanager
 async def process(
-    host: StubEndpoint, tmp_path: Path, sockets: int = 1024, **environ: str
+    endpoint: StubEndpoint, tmp_path: Path, sockets: int = 1024, **environ: str
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, int]]:
-    registry = Registry()
-    await host.start()
-    await registry.start()
+    discovery = StubDiscovery()
+    await endpoint.start()
+    await discovery.start()
     with socket.create_server(("127.0.0.1", 0)) as free:
         port = free.getsockname()[1]
     path = tmp_path / "config.json"
     listen, limits = f"127.0.0.1:{port}", {"sockets": sockets}
-    raw = configuration({"h0": host.address}, registry.address, listen=listen, limits=limits)
+    raw = configuration({"h0": endpoint.address}, discovery.address, listen=listen, limits=limits)
     path.write_text(json.dumps(raw))
     child, stderr = await start_process(path, **environ)
     try:
@@ -81,5 +79,5 @@
         if child.returncode is None:
             child.kill()
         await child.wait()
-        host.stop()
-        registry.stop()
+        endpoint.stop()
+        discovery.stop()
--- a/tests/gateway/reload_helpers.py
+++ b/tests/gateway/reload_helpers.py
@@ -16,14 +16,9 @@
 from load_balancer.config.file import Config, read_steps
 from load_balancer.gateway import reload
 from load_balancer.gateway.reload import ConfigReloader
-from tests.sockets import (
-    Gateway,
-    configuration,
-    gateway,
-    lane,
-    settings,
-    until,
-)
+from tests.gateway.configurations import configuration, request_class_settings, settings
+from tests.gateway.event_loop import wait_until
+from tests.gateway.running_gateway import RunningGateway, running_gateway
 
 TENANTS = [{"name": "acme"}, {"name": "umbrella"}]
 
@@ -35,7 +30,7 @@
 class ReloadableGateway:
     """A running gateway, and the file that its configuration is read from."""
 
-    gateway: Gateway
+    gateway: RunningGateway
     reloader: ConfigReloader
     path: Path
     raw: dict[str, Any]
@@ -47,7 +42,7 @@
         new.replace(self.path)
 
     async def finish_reading(self) -> None:
-        await until(lambda: not self.reloader.is_reading)
+        await wait_until(lambda: not self.reloader.is_reading)
 
     async def reload(self, settings: object = None, **changed: Any) -> None:
         self.write(settings, **changed)
@@ -62,14 +57,14 @@
 @asynccontextmanager
 async def reloadable(tmp_path: Path) -> AsyncIterator[ReloadableGateway]:
     """A gateway whose configuration stands in a file."""
-    async with gateway(hosts=2, settings=FIRST) as it:
-        raw = configuration({"h0": it.host.address}, it.registry.address, settings=FIRST)
+    async with running_gateway(endpoints=2, settings=FIRST) as it:
+        raw = configuration({"h0": it.endpoint.address}, it.discovery.address, settings=FIRST)
         path = tmp_path / "config.json"
         path.write_text(json.dumps(raw))
         environ: Mapping[str, str] = {"ROUTER_CONFIG": str(path)}
         loaded = configs.load_config(environ)
         loaded.known.clear()
-        reloader = ConfigReloader(loaded, it.proxy, it.downstream, environ)
+        reloader = ConfigReloader(loaded, it.proxy, it.client_server, environ)
         try:
             yield ReloadableGateway(it, reloader, path, raw)
         finally:
@@ -83,7 +78,7 @@
 
 def with_classes(*classes: str, **changed: Any) -> dict[str, Any]:
     """Settings with classes of those names, idempotent ones but for `buy`."""
-    lanes = [lane(name, "single_shot" if name == "buy" else "free") for name in classes]
+    lanes = [request_class_settings(name, "single_shot" if name == "buy" else "free") for name in classes]
     return {**FIRST, "lanes": lanes, **changed}
 
 
--- /dev/null
+++ b/tests/gateway/running_gateway.py
@@ -0,0 +1,127 @@
+"""A gateway in the process of the test, between a stub endpoint and a stub discovery on 127.0.0.1."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import AsyncIterator, Callable
+from contextlib import asynccontextmanager
+from dataclasses import dataclass, field
+from typing import Any, TypeVar
+
+import pytest
+
+from load_balancer.config.file import parse_config
+from load_balancer.decisions.actions import Action
+from load_balancer.decisions.events import Event
+from load_balancer.gateway.client_connection import ClientConnection
+from load_balancer.gateway.client_server import ClientServer
+from load_balancer.gateway.proxy import Proxy
+from tests.gateway.configurations import configuration
+from tests.gateway.http_client import HttpClient, encode_request
+from tests.gateway.stub_discovery import StubDiscovery
+from tests.gateway.stub_endpoint import StubEndpoint
+from tests.gateway.stub_server import socket_with_small_buffer
+
+E = TypeVar("E")
+
+
+@dataclass
+class RunningGateway:
+    """The gateway's parts, the stubs on both sides and the events that its balancer handled."""
+
+    proxy: Proxy
+    client_server: ClientServer
+    endpoint: StubEndpoint
+    discovery: StubDiscovery
+    events: list[Event] = field(default_factory=list)
+    changed: asyncio.Event = field(default_factory=asyncio.Event)
+
+    def record_events(self) -> None:
+        """Record the events that the balancer handles, in order."""
+        handle = self.proxy.balancer.handle
+
+        def noting(now_us: int, event: Event) -> list[Action]:
+            self.events.append(event)
+            self.changed.set()
+            return handle(now_us, event)
+
+        self.proxy.balancer.handle = noting  # type: ignore[method-assign]
+
+    async def wait_for_event(self, kind: type[E], where: Callable[[E], bool] = lambda _: True) -> E:
+        """Wait for the first matching event; it and those before it are removed from `events`."""
+        while True:
+            while self.events:
+                event = self.events.pop(0)
+                if isinstance(event, kind) and where(event):
+                    return event
+            self.changed.clear()
+            await self.changed.wait()
+
+    async def serve_request(self, client: HttpClient, data: bytes = b"") -> None:
+        """Send a request, respond with 200 at the endpoint and expect 200 at the client."""
+        client.send(data or encode_request())
+        (await self.endpoint.requests.get()).respond()
+        assert (await client.read_response())[0] == 200
+
+    def stop_reading(self, client: HttpClient) -> ClientConnection:
+        """Stop reading at the client; returns its connection at the gateway, with a small send buffer."""
+        (connection,) = self.client_server.connections
+        assert connection.transport is not None
+        ours = connection.transport.get_extra_info("socket")
+        ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        client.writer.transport.pause_reading()  # type: ignore[attr-defined]
+        return connection
+
+    async def client(self) -> HttpClient:
+        """Connect a client with a small receive buffer."""
+        assert self.client_server.listener is not None
+        host, port = self.client_server.listener.sockets[0].getsockname()
+        sock = socket_with_small_buffer()
+        sock.setblocking(False)
+        await asyncio.get_running_loop().sock_connect(sock, (host, port))
+        return HttpClient(*await asyncio.open_connection(sock=sock))
+
+
+@asynccontextmanager
+async def running_gateway(
+    endpoints: int = 1, reuse_delay_s: float = 0.0, **changed: Any
+) -> AsyncIterator[RunningGateway]:
+    """Run a gateway whose list has that many endpoints `h0`, `h1`, ..., all at the address of one stub."""
+    endpoint, discovery = StubEndpoint(), StubDiscovery()
+    await endpoint.start()
+    await discovery.start()
+    known = {f"h{n}": endpoint.address for n in range(endpoints)}
+    config = parse_config(configuration(known, discovery.address, **changed))
+    loop = asyncio.get_running_loop()
+    proxy = Proxy(config, loop)
+    proxy.upstream.timing.reuse_delay_s = reuse_delay_s
+    client_server = ClientServer(config, proxy, loop)
+    gateway = RunningGateway(proxy, client_server, endpoint, discovery)
+    gateway.record_events()
+    await proxy.start()
+    await client_server.start()
+    try:
+        yield gateway
+    finally:
+        assert client_server.listener is not None
+        client_server.listener.close()
+        for connection in list(client_server.connections):
+            connection.close()
+        proxy.close()
+        endpoint.stop()
+        discovery.stop()
+
+
+def hold_connects(gateway: RunningGateway, monkeypatch: pytest.MonkeyPatch) -> asyncio.Event:
+    """Delay connections to the endpoint until the returned event is set."""
+    loop, free = gateway.proxy.loop, asyncio.Event()
+    connect = loop.create_connection
+
+    async def held(protocol: Any, host: str, port: int, **kwargs: Any) -> Any:
+        if f"{host}:{port}" == gateway.endpoint.address:
+            await free.wait()
+        return await connect(protocol, host, port, **kwargs)
+
+    monkeypatch.setattr(loop, "create_connection", held)
+    return free
--- a/tests/gateway/scripted_balancer.py
+++ b/tests/gateway/scripted_balancer.py
@@ -8,22 +8,22 @@
 from load_balancer.decisions.events import AttemptEnded, ClientDisconnected, Event, Outcome, RequestArrived
 from load_balancer.gateway.discovery_messages import endpoint_id_of
 from load_balancer.gateway.request_ledger import PendingRequest
-from tests.sockets import Gateway
+from tests.gateway.running_gateway import RunningGateway
 
 
-def replace_decisions(it: Gateway, decide: Callable[[Event], list[Action]]) -> None:
+def replace_decisions(gateway: RunningGateway, decide: Callable[[Event], list[Action]]) -> None:
     """Have a function decide in place of the balancer; events are noted as before."""
 
     def handle(now_us: int, event: Event) -> list[Action]:
         del now_us
-        it.events.append(event)
-        it.changed.set()
+        gateway.events.append(event)
+        gateway.changed.set()
         return decide(event)
 
-    it.proxy.balancer.handle = handle  # type: ignore[method-assign]
+    gateway.proxy.balancer.handle = handle  # type: ignore[method-assign]
 
 
-def script_decisions(it: Gateway, first: list[str], then: str) -> None:
+def script_decisions(gateway: RunningGateway, first: list[str], then: str) -> None:
     """Send a request to the first endpoints, and to another after each outcome but a good one."""
     endpoints = iter(first)
 
@@ -37,7 +37,7 @@
             return [Cancel(request_id, 0)]
         return []
 
-    replace_decisions(it, decide)
+    replace_decisions(gateway, decide)
 
 
 def time_out(request: PendingRequest) -> None:
--- /dev/null
+++ b/tests/gateway/stub_discovery.py
@@ -0,0 +1,43 @@
+"""A discovery service whose watch events the test writes."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+
+from tests.gateway.stub_server import StubServer, read_head
+
+
+class StubDiscovery(StubServer):
+    """Queues each opened watch for the test to write to; answers polls with `complete_list`."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.watches: asyncio.Queue[tuple[str, asyncio.StreamWriter]] = asyncio.Queue()
+        self.complete_list = b"{}"
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        first, _ = await read_head(reader)
+        if "stream=1" not in first:
+            writer.write(
+                b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b"
+                % (len(self.complete_list), self.complete_list)
+            )
+            return
+        writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        self.watches.put_nowait((first, writer))
+        await reader.read()
+
+
+def encode_chunk(line: str) -> bytes:
+    """One line of a watch as a chunk of the chunked transfer coding."""
+    data = line.encode()
+    return b"%x\r\n%b\r\n" % (len(data), data)
+
+
+def endpoint_entry(name: str, address: str, status: str = "active", **extra: object) -> dict[str, object]:
+    return {"name": name, "address": address, "zone": "a", "type": "m1", "status": status, **extra}
+
+
+def watch_event(*entries: object, index: int = 1, snapshot: bool = False) -> str:
+    return json.dumps({"index": index, "snapshot": snapshot, "endpoints": entries}) + "\n"
--- /dev/null
+++ b/tests/gateway/stub_server.py
@@ -0,0 +1,78 @@
+"""Sockets and HTTP/1.1 framing that the stubs for clients, endpoints and discovery share."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import socket
+
+Headers = dict[str, str]
+
+
+def send_now(writer: asyncio.StreamWriter, data: bytes) -> None:
+    """Send in this iteration of the event loop, before any side reads again."""
+    with socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno())) as raw:
+        raw.send(data)
+
+
+def socket_with_small_buffer() -> socket.socket:
+    """A socket whose small receive buffer makes the peer's writes block early."""
+    sock = socket.socket()
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+    return sock
+
+
+async def read_head(reader: asyncio.StreamReader) -> tuple[str, Headers]:
+    """The first line and the headers, their names in lower case."""
+    first, *lines = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").rstrip().split("\r\n")
+    return first, {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
+
+
+async def read_message(reader: asyncio.StreamReader) -> tuple[str, Headers, bytes]:
+    """The first line, the headers and the body by Content-Length."""
+    first, head = await read_head(reader)
+    return first, head, await reader.readexactly(int(head.get("content-length", "0")))
+
+
+class StubServer:
+    """Accepts connections on a port of its own."""
+
+    def __init__(self) -> None:
+        self.connections = 0
+        self.writers: list[asyncio.StreamWriter] = []
+        self.sock: socket.socket | None = None
+        self.listener: asyncio.Server | None = None
+        self.address = ""
+
+    def bind(self) -> str:
+        """Take a port, where connections are refused until the start; returns the address."""
+        self.sock = socket_with_small_buffer()
+        self.sock.bind(("127.0.0.1", 0))
+        host, port = self.sock.getsockname()
+        self.address = f"{host}:{port}"
+        return self.address
+
+    async def start(self) -> None:
+        if self.sock is None:
+            self.bind()
+        self.listener = await asyncio.start_server(self.accept, sock=self.sock)
+
+    async def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self.connections += 1
+        self.writers.append(writer)
+        try:
+            await self.serve(reader, writer)
+        except (asyncio.IncompleteReadError, ConnectionError):
+            await self.ended(writer)
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        raise NotImplementedError
+
+    async def ended(self, writer: asyncio.StreamWriter) -> None:
+        writer.close()
+
+    def stop(self) -> None:
+        if self.listener is not None:
+            self.listener.close()
+        for writer in self.writers:
+            writer.transport.abort()
--- a/tests/gateway/test_attempts.py
+++ b/tests/gateway/test_attempts.py
@@ -11,8 +11,11 @@
 from load_balancer.decisions.events import AttemptEnded, Event, Outcome, RequestArrived
 from load_balancer.gateway.discovery_messages import endpoint_id_of
 from load_balancer.gateway.http_message import BODY_LIMIT, HEAD_LIMIT
+from tests.gateway.configurations import settings
+from tests.gateway.event_loop import runs_in_event_loop
+from tests.gateway.http_client import encode_request
+from tests.gateway.running_gateway import hold_connects, running_gateway
 from tests.gateway.scripted_balancer import replace_decisions
-from tests.sockets import ask, gateway, hold_connects, runs_in_event_loop, settings
 
 RESPONSES = [
     (b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR),
@@ -37,81 +40,83 @@
 @pytest.mark.parametrize(("answer", "outcome"), RESPONSES)
 @runs_in_event_loop
 async def test_each_response_has_its_outcome(answer: bytes, outcome: Outcome) -> None:
-    async with gateway() as it:
-        client = await it.client()
-        client.send(ask("buy"))
-        (await it.host.taken.get()).raw(answer, close=True)
-        assert (await it.event(AttemptEnded)).outcome is outcome
+    async with running_gateway() as gateway:
+        client = await gateway.client()
+        client.send(encode_request("buy"))
+        (await gateway.endpoint.requests.get()).respond_raw(answer, close=True)
+        assert (await gateway.wait_for_event(AttemptEnded)).outcome is outcome
         # A request that must not run twice is rejected only where it is sure not to have run.
-        assert (await client.answer())[0] == (503 if outcome is Outcome.REJECTED else 502)
+        assert (await client.read_response())[0] == (503 if outcome is Outcome.REJECTED else 502)
 
 
 @runs_in_event_loop
 async def test_an_interim_response_is_not_the_final_one() -> None:
-    async with gateway() as it:
-        client = await it.client()
-        client.send(ask())
-        taken = await it.host.taken.get()
-        taken.raw(b"HTTP/1.1 102 Processing\r\n\r\n")
-        taken.answer()
-        assert (await client.answer())[0] == 200
+    async with running_gateway() as gateway:
+        client = await gateway.client()
+        client.send(encode_request())
+        received = await gateway.endpoint.requests.get()
+        received.respond_raw(b"HTTP/1.1 102 Processing\r\n\r\n")
+        received.respond()
+        assert (await client.read_response())[0] == 200
 
 
 @runs_in_event_loop
 async def test_a_refused_connection_is_reported_as_connect_failed() -> None:
-    async with gateway() as it:
-        it.host.stop()
-        assert (await (await it.client()).ask(ask("buy")))[0] == 503
-        assert (await it.event(AttemptEnded)).outcome is Outcome.CONNECT_FAILED
+    async with running_gateway() as gateway:
+        gateway.endpoint.stop()
+        assert (await (await gateway.client()).request(encode_request("buy")))[0] == 503
+        assert (await gateway.wait_for_event(AttemptEnded)).outcome is Outcome.CONNECT_FAILED
 
 
 @runs_in_event_loop
 async def test_a_malformed_address_is_reported_as_connect_failed() -> None:
     """Connecting to it raises no OSError."""
-    async with gateway() as it:
-        it.proxy.upstream.endpoints[endpoint_id_of("h0")].address = ("a..b", 80)
-        assert (await (await it.client()).ask(ask("buy")))[0] == 503
-        assert (await it.event(AttemptEnded)).outcome is Outcome.CONNECT_FAILED
-        assert not it.proxy.upstream.connections
+    async with running_gateway() as gateway:
+        gateway.proxy.upstream.endpoints[endpoint_id_of("h0")].address = ("a..b", 80)
+        assert (await (await gateway.client()).request(encode_request("buy")))[0] == 503
+        assert (await gateway.wait_for_event(AttemptEnded)).outcome is Outcome.CONNECT_FAILED
+        assert not gateway.proxy.upstream.connections
 
 
 @runs_in_event_loop
 async def test_a_connect_timeout_is_reported_as_connect_failed(monkeypatch: pytest.MonkeyPatch) -> None:
-    async with gateway(settings=settings(connectTimeoutUs=1_000)) as it:
-        hold_connects(it, monkeypatch)
-        assert (await (await it.client()).ask(ask("buy")))[0] == 503
-        assert (await it.event(AttemptEnded)).outcome is Outcome.CONNECT_FAILED
+    async with running_gateway(settings=settings(connectTimeoutUs=1_000)) as gateway:
+        hold_connects(gateway, monkeypatch)
+        assert (await (await gateway.client()).request(encode_request("buy")))[0] == 503
+        assert (await gateway.wait_for_event(AttemptEnded)).outcome is Outcome.CONNECT_FAILED
 
 
 @runs_in_event_loop
 async def test_a_request_still_in_the_write_buffer_is_reported_as_connect_failed() -> None:
     """Handed to the transport is not written: the endpoint has read a part, and the rest is never sent."""
-    async with gateway() as it:
-        client = await it.client()
-        await it.served(client)
-        (connection,) = it.proxy.upstream.connections
+    async with running_gateway() as gateway:
+        client = await gateway.client()
+        await gateway.serve_request(client)
+        (connection,) = gateway.proxy.upstream.connections
         assert connection.transport is not None
         # No room on either side, so that most of a large body has to wait in the transport.
         connection.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        (writer,) = it.host.writers
+        (writer,) = gateway.endpoint.writers
         writer.transport.pause_reading()  # type: ignore[attr-defined]
-        client.send(ask("buy", body=bytes(BODY_LIMIT)))
-        await it.event(RequestArrived, lambda e: e.request_class == 2)
+        client.send(encode_request("buy", body=bytes(BODY_LIMIT)))
+        await gateway.wait_for_event(RequestArrived, lambda e: e.request_class == 2)
         assert connection.transport.get_write_buffer_size() > 0
         writer.transport.abort()
-        assert (await it.event(AttemptEnded, lambda e: e.request_id == "2")).outcome is Outcome.CONNECT_FAILED
-        assert (await client.answer())[0] == 503
+        assert (
+            await gateway.wait_for_event(AttemptEnded, lambda e: e.request_id == "2")
+        ).outcome is Outcome.CONNECT_FAILED
+        assert (await client.read_response())[0] == 503
 
 
 @runs_in_event_loop
 async def test_an_attempt_that_times_out_closes_its_connection() -> None:
-    async with gateway() as it:
-        client = await it.client()
-        client.send(ask("buy", Request_Timeout_Ms="200"))
-        await it.host.taken.get()
-        assert (await client.answer())[0] == 502
-        assert (await it.event(AttemptEnded)).outcome is Outcome.TIMEOUT
-        await it.host.left.get()
+    async with running_gateway() as gateway:
+        client = await gateway.client()
+        client.send(encode_request("buy", Request_Timeout_Ms="200"))
+        await gateway.endpoint.requests.get()
+        assert (await client.read_response())[0] == 502
+        assert (await gateway.wait_for_event(AttemptEnded)).outcome is Outcome.TIMEOUT
+        await gateway.endpoint.closed_connections.get()
 
 
 ENDLESS_RESPONSES = [
@@ -125,38 +130,38 @@
 @runs_in_event_loop
 async def test_an_endless_response_is_cut_off(begin: bytes) -> None:
     """Bytes are counted that are no whole header and no body."""
-    async with gateway() as it:
-        client = await it.client()
-        client.send(ask("buy"))
-        taken = await it.host.taken.get()
-        taken.raw(begin)
+    async with running_gateway() as gateway:
+        client = await gateway.client()
+        client.send(encode_request("buy"))
+        received = await gateway.endpoint.requests.get()
+        received.respond_raw(begin)
         more = begin if begin.endswith(b"\r\n\r\n") else b"x" * 1000
-        ended = asyncio.create_task(it.event(AttemptEnded))
-        while not ended.done() and not taken.writer.is_closing():
-            taken.raw(more)
-            await taken.writer.drain()
+        ended = asyncio.create_task(gateway.wait_for_event(AttemptEnded))
+        while not ended.done() and not received.writer.is_closing():
+            received.respond_raw(more)
+            await received.writer.drain()
             await asyncio.sleep(0)
         assert (await ended).outcome is Outcome.RESET
-        assert (await client.answer())[0] == 502
-        assert not it.proxy.upstream.connections
+        assert (await client.read_response())[0] == 502
+        assert not gateway.proxy.upstream.connections
 
 
 @pytest.mark.parametrize("attempts", [2, 1])
 @runs_in_event_loop
 async def test_an_attempt_beyond_the_limit_is_never_sent(attempts: int) -> None:
-    async with gateway(settings=settings(maxAttempts=attempts)) as it:
+    async with running_gateway(settings=settings(maxAttempts=attempts)) as gateway:
 
         def twice(event: Event) -> list[Action]:
             send = Send(getattr(event, "request_id", ""), endpoint_id_of("h0"), 20_000_000)
             return [send, send] if isinstance(event, RequestArrived) else []
 
-        replace_decisions(it, twice)
-        client = await it.client()
-        client.send(ask())
+        replace_decisions(gateway, twice)
+        client = await gateway.client()
+        client.send(encode_request())
         for _ in range(attempts):
-            taken = await it.host.taken.get()
+            received = await gateway.endpoint.requests.get()
         if attempts == 1:
-            assert (await it.event(AttemptEnded)).outcome is Outcome.NOT_SENT
-        taken.answer()
-        assert (await client.answer())[0] == 200
-        assert it.host.taken.empty()
+            assert (await gateway.wait_for_event(AttemptEnded)).outcome is Outcome.NOT_SENT
+        received.respond()
+        assert (await client.read_response())[0] == 200
+        assert gateway.endpoint.requests.empty()
--- a/tests/gateway/test_client_connection.py
+++ b/tests/gateway/test_client_connection.py
@@ -7,30 +7,32 @@
 from load_balancer.decisions.events import AttemptEnded, Outcome
 from load_balancer.gateway import client_connection, lingering_close
 from load_balancer.gateway.http_message import BODY_LIMIT
-from tests.sockets import PATIENCE_S, ask, gateway, runs_in_event_loop, until
+from tests.gateway.event_loop import TEST_TIMEOUT_S, runs_in_event_loop, wait_until
+from tests.gateway.http_client import encode_request
+from tests.gateway.running_gateway import running_gateway
 
 
 @runs_in_event_loop
 async def test_pipelined_requests_are_answered_in_order() -> None:
-    async with gateway() as it:
-        client = await it.client()
-        client.send(ask(Request_Id="first") + ask(Request_Id="second"))
+    async with running_gateway() as gateway:
+        client = await gateway.client()
+        client.send(encode_request(Request_Id="first") + encode_request(Request_Id="second"))
         for name in ("first", "second"):
-            taken = await it.host.taken.get()
-            assert taken.head["request-id"] == name
-            taken.answer(body=name.encode())
-            assert (await client.answer())[2] == name.encode()
+            received = await gateway.endpoint.requests.get()
+            assert received.headers["request-id"] == name
+            received.respond(body=name.encode())
+            assert (await client.read_response())[2] == name.encode()
 
 
 @runs_in_event_loop
 async def test_pipelined_bodies_are_limited() -> None:
     """Not only their number, or each connection could hold eight bodies."""
-    async with gateway() as it:
-        client = await it.client()
-        client.send(ask() + 9 * ask("buy", body=bytes(BODY_LIMIT // 2)))
-        await it.host.taken.get()
-        (connection,) = it.downstream.connections
-        await until(lambda: connection.reader.is_stopped)
+    async with running_gateway() as gateway:
+        client = await gateway.client()
+        client.send(encode_request() + 9 * encode_request("buy", body=bytes(BODY_LIMIT // 2)))
+        await gateway.endpoint.requests.get()
+        (connection,) = gateway.client_server.connections
+        await wait_until(lambda: connection.reader.is_stopped)
         *ahead, last = connection.waiting
         assert len(ahead) == 3
         assert last.rejection is not None
@@ -40,41 +42,41 @@
 @runs_in_event_loop
 async def test_a_client_that_reads_no_answers_is_served_no_further_request() -> None:
     """Its requests are read all the same, up to a limit, so that its close is noticed."""
-    async with gateway() as it:
-        client = await it.client()
-        client.send(ask())
-        taken = await it.host.taken.get()
-        connection = it.stop_reading(client)
+    async with running_gateway() as gateway:
+        client = await gateway.client()
+        client.send(encode_request())
+        received = await gateway.endpoint.requests.get()
+        connection = gateway.stop_reading(client)
         assert connection.transport is not None
         connection.transport.set_write_buffer_limits(high=0)
-        taken.answer(body=bytes(BODY_LIMIT))
-        assert (await it.event(AttemptEnded)).outcome is Outcome.OK
+        received.respond(body=bytes(BODY_LIMIT))
+        assert (await gateway.wait_for_event(AttemptEnded)).outcome is Outcome.OK
         assert connection.transport.get_write_buffer_size() > 0
         for _ in range(2 * client_connection.PIPELINE_LIMIT):
-            client.send(ask())
-        await until(lambda: connection.reader.is_stopped)  # read, counted and past the limit
+            client.send(encode_request())
+        await wait_until(lambda: connection.reader.is_stopped)  # read, counted and past the limit
         assert connection.current is None
         assert len(connection.waiting) <= client_connection.PIPELINE_LIMIT + 2
-        assert it.host.taken.empty()
-        assert it.proxy.ledger.accepted == 1
+        assert gateway.endpoint.requests.empty()
+        assert gateway.proxy.ledger.accepted == 1
         client.writer.transport.resume_reading()  # type: ignore[attr-defined]
-        assert len((await client.answer())[2]) == BODY_LIMIT
+        assert len((await client.read_response())[2]) == BODY_LIMIT
         for _ in range(client_connection.PIPELINE_LIMIT + 1):
-            (await it.host.taken.get()).answer()
-            assert (await client.answer())[0] == 200
-        assert (await client.answer())[0] == 503
-        assert await client.closed()
+            (await gateway.endpoint.requests.get()).respond()
+            assert (await client.read_response())[0] == 200
+        assert (await client.read_response())[0] == 503
+        assert await client.is_closed()
 
 
 @runs_in_event_loop
 async def test_input_after_a_rejection_does_not_reset_the_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     """Closed at once, the connection would be reset by the rest of a body, which can overtake the 413."""
-    monkeypatch.setattr(lingering_close, "LINGER_S", 2 * PATIENCE_S)
-    async with gateway() as it:
-        client = await it.client()
-        client.send(ask("buy", body=bytes(BODY_LIMIT + 1), Content_Length=str(2 * BODY_LIMIT)))
-        assert (await client.answer())[0] == 413
-        assert await client.closed()
+    monkeypatch.setattr(lingering_close, "LINGER_S", 2 * TEST_TIMEOUT_S)
+    async with running_gateway() as gateway:
+        client = await gateway.client()
+        client.send(encode_request("buy", body=bytes(BODY_LIMIT + 1), Content_Length=str(2 * BODY_LIMIT)))
+        assert (await client.read_response())[0] == 413
+        assert await client.is_closed()
         for _ in range(2):  # the first would draw the reset, the second would meet it
             client.send(b"the rest")
         assert not client.writer.transport.is_closing()
@@ -86,16 +88,16 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Closed at once, the connection would be reset by it, which can overtake the answer."""
-    monkeypatch.setattr(lingering_close, "LINGER_S", 2 * PATIENCE_S)
-    async with gateway() as it:
-        client = await it.client()
-        await it.served(client, ask(Connection="close"))
-        assert await client.closed()
+    monkeypatch.setattr(lingering_close, "LINGER_S", 2 * TEST_TIMEOUT_S)
+    async with running_gateway() as gateway:
+        client = await gateway.client()
+        await gateway.serve_request(client, encode_request(Connection="close"))
+        assert await client.is_closed()
         for _ in range(2):  # the first would draw the reset, the second would meet it
-            client.send(ask())
+            client.send(encode_request())
         assert not client.writer.transport.is_closing()
         client.writer.transport.abort()
-        await until(lambda: not it.downstream.connections)
+        await wait_until(lambda: not gateway.client_server.connections)
 
 
 @pytest.mark.parametrize("reads", [True, False])
@@ -104,13 +106,13 @@
     reads: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(lingering_close, "LINGER_S", 0.01)
-    async with gateway() as it:
-        client = await it.client()
-        client.send(ask(Connection="close"))
-        taken = await it.host.taken.get()
-        connection = it.stop_reading(client)
-        taken.answer(body=bytes(BODY_LIMIT))
-        await it.event(AttemptEnded)
+    async with running_gateway() as gateway:
+        client = await gateway.client()
+        client.send(encode_request(Connection="close"))
+        received = await gateway.endpoint.requests.get()
+        connection = gateway.stop_reading(client)
+        received.respond(body=bytes(BODY_LIMIT))
+        await gateway.wait_for_event(AttemptEnded)
         assert connection.transport is not None
         assert connection.transport.get_write_buffer_size() > 0
         lingering = connection.lingering_close
@@ -120,7 +122,7 @@
         assert not connection.transport.is_closing()
         if reads:
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
-            assert len((await client.answer())[2]) == BODY_LIMIT
+            assert len((await client.read_response())[2]) == BODY_LIMIT
         else:
             client.writer.transport.abort()
-        await until(lambda: not it.downstream.connections)
+        await wait_until(lambda: not gateway.client_server.connections)
--- a/tests/gateway/test_client_server.py
+++ b/tests/gateway/test_client_server.py
@@ -8,41 +8,44 @@
 
 from load_balancer.decisions.events import RequestArrived
 from load_balancer.gateway import client_server
-from tests.sockets import ask, gateway, runs_in_event_loop, send_now, until
+from tests.gateway.event_loop import runs_in_event_loop, wait_until
+from tests.gateway.http_client import encode_request
+from tests.gateway.running_gateway import running_gateway
+from tests.gateway.stub_server import send_now
 
 
 @pytest.mark.parametrize(("endpoints", "status"), [(1, 200), (0, 503)])
 @runs_in_event_loop
 async def test_ready_once_endpoints_are_known(endpoints: int, status: int) -> None:
-    async with gateway(hosts=endpoints) as it:
-        assert not it.proxy.config.known  # it stayed for good, beside the list as it was read
-        client = await it.client()
-        assert (await client.ask(b"GET /health/ready HTTP/1.1\r\n\r\n"))[0] == status
+    async with running_gateway(endpoints=endpoints) as gateway:
+        assert not gateway.proxy.config.known  # it stayed for good, beside the list as it was read
+        client = await gateway.client()
+        assert (await client.request(b"GET /health/ready HTTP/1.1\r\n\r\n"))[0] == status
 
 
 @runs_in_event_loop
 async def test_connections_are_limited_and_idle_ones_make_room() -> None:
-    async with gateway(limits={"sockets": 128}) as it:
-        limit = it.downstream.limit
-        idle = [await it.client() for _ in range(limit)]
-        await until(lambda: len(it.downstream.connections) == limit)
-        new = await it.client()
-        assert (await new.ask(ask()))[0] == 503
-        for connection in it.downstream.connections:
+    async with running_gateway(limits={"sockets": 128}) as gateway:
+        limit = gateway.client_server.limit
+        idle = [await gateway.client() for _ in range(limit)]
+        await wait_until(lambda: len(gateway.client_server.connections) == limit)
+        new = await gateway.client()
+        assert (await new.request(encode_request()))[0] == 503
+        for connection in gateway.client_server.connections:
             connection.last_activity -= client_server.EVICTION_IDLE_S
-        busy = await it.client()
-        await it.served(busy)
-        ends = [asyncio.create_task(client.closed()) for client in idle]
+        busy = await gateway.client()
+        await gateway.serve_request(busy)
+        ends = [asyncio.create_task(client.is_closed()) for client in idle]
         await asyncio.wait(ends, return_when=asyncio.FIRST_COMPLETED)
         assert any(end.done() and end.result() for end in ends)
         held = []
-        it.proxy.balancer.concurrency_limit.limit = 2.0 * limit  # nothing is shed for what is in flight
+        gateway.proxy.balancer.concurrency_limit.limit = 2.0 * limit  # nothing is shed for what is in flight
         for _ in range(limit):
-            held.append(await it.client())
-            held[-1].send(ask())
-            await it.event(RequestArrived)
-        rejected = await it.client()
-        status, head, _ = await rejected.ask(ask())
+            held.append(await gateway.client())
+            held[-1].send(encode_request())
+            await gateway.wait_for_event(RequestArrived)
+        rejected = await gateway.client()
+        status, head, _ = await rejected.request(encode_request())
         assert status == 503
         assert head["connection"] == "close"
 
@@ -51,105 +54,105 @@
 @runs_in_event_loop
 async def test_idle_clients_do_not_keep_a_new_one_from_asking_for_readiness(long_idle: bool) -> None:
     """Beyond the limit a new connection may still ask for readiness."""
-    async with gateway(limits={"sockets": 128}) as it:
-        most = it.downstream.limit + client_server.REJECTED_CONNECTIONS
-        idle = [await it.client() for _ in range(most)]
-        await until(lambda: len(it.downstream.connections) == most)
-        for connection in it.downstream.connections if long_idle else ():
+    async with running_gateway(limits={"sockets": 128}) as gateway:
+        most = gateway.client_server.limit + client_server.REJECTED_CONNECTIONS
+        idle = [await gateway.client() for _ in range(most)]
+        await wait_until(lambda: len(gateway.client_server.connections) == most)
+        for connection in gateway.client_server.connections if long_idle else ():
             connection.last_activity -= client_server.EVICTION_IDLE_S
         for _ in range(most):
-            asks = await it.client()
-            status, _, text = await asks.ask(b"GET /health/ready HTTP/1.1\r\n\r\n")
+            asks = await gateway.client()
+            status, _, text = await asks.request(b"GET /health/ready HTTP/1.1\r\n\r\n")
             assert (status, text) == (200, b"ready\n")
-            idle.append(await it.client())
-            assert len(it.downstream.connections) <= most + client_server.CLOSING_CONNECTIONS
-        first = idle[0 if long_idle else it.downstream.limit]
-        assert long_idle or (await first.answer())[0] == 503
-        assert await first.closed()
+            idle.append(await gateway.client())
+            assert len(gateway.client_server.connections) <= most + client_server.CLOSING_CONNECTIONS
+        first = idle[0 if long_idle else gateway.client_server.limit]
+        assert long_idle or (await first.read_response())[0] == 503
+        assert await first.is_closed()
 
 
 @runs_in_event_loop
 async def test_a_client_that_sends_nothing_is_closed_long_before_an_idle_one() -> None:
-    async with gateway() as it:
-        client = await it.client()
-        await it.served(client)
-        (known,) = it.downstream.connections
-        peer = await it.client()
-        await until(lambda: len(it.downstream.connections) == 2)
-        for connection in it.downstream.connections:
+    async with running_gateway() as gateway:
+        client = await gateway.client()
+        await gateway.serve_request(client)
+        (known,) = gateway.client_server.connections
+        peer = await gateway.client()
+        await wait_until(lambda: len(gateway.client_server.connections) == 2)
+        for connection in gateway.client_server.connections:
             connection.last_activity -= client_server.FIRST_REQUEST_TIMEOUT_S + 0.1
             connection.reader.began_at -= client_server.FIRST_REQUEST_TIMEOUT_S + 0.1
-        it.downstream.sweep()
-        assert await peer.closed()
-        assert it.downstream.connections == {known}
-        await it.served(client)
+        gateway.client_server.sweep()
+        assert await peer.is_closed()
+        assert gateway.client_server.connections == {known}
+        await gateway.serve_request(client)
 
 
 @runs_in_event_loop
 async def test_a_slow_request_is_timed_from_its_first_byte() -> None:
     """Not from its latest one, or a client that sends one now and then would never be answered."""
-    async with gateway() as it:
-        peer = await it.client()
+    async with running_gateway() as gateway:
+        peer = await gateway.client()
         peer.send(b"GET /look HTT")
-        await until(lambda: any(not c.is_idle for c in it.downstream.connections))
-        (connection,) = it.downstream.connections
-        it.downstream.sweep()
+        await wait_until(lambda: any(not c.is_idle for c in gateway.client_server.connections))
+        (connection,) = gateway.client_server.connections
+        gateway.client_server.sweep()
         assert not connection.reader.is_stopped
         connection.reader.began_at -= client_server.REQUEST_READ_TIMEOUT_S + 0.1
         last_activity, connection.last_activity = connection.last_activity, 0.0
         peer.send(b"P")
-        await until(lambda: connection.last_activity >= last_activity)
-        it.downstream.sweep()
-        assert (await peer.answer())[0] == 408
-        assert await peer.closed()
+        await wait_until(lambda: connection.last_activity >= last_activity)
+        gateway.client_server.sweep()
+        assert (await peer.read_response())[0] == 408
+        assert await peer.is_closed()
 
 
 @runs_in_event_loop
 async def test_the_first_request_is_timed_from_connecting() -> None:
     """Else a client that sends its first byte after 2 s, and no more, would wait for more than 4 s."""
-    async with gateway() as it:
-        peer = await it.client()
-        await until(lambda: bool(it.downstream.connections))
-        (connection,) = it.downstream.connections
+    async with running_gateway() as gateway:
+        peer = await gateway.client()
+        await wait_until(lambda: bool(gateway.client_server.connections))
+        (connection,) = gateway.client_server.connections
         connection.reader.began_at -= client_server.FIRST_REQUEST_TIMEOUT_S + 0.1
         peer.send(b"GET /look HTT")
-        await until(lambda: connection.reader.is_mid_request)
-        it.downstream.sweep()
+        await wait_until(lambda: connection.reader.is_mid_request)
+        gateway.client_server.sweep()
         assert connection.reader.is_stopped
-        assert (await peer.answer())[0] == 408
-        assert await peer.closed()
+        assert (await peer.read_response())[0] == 408
+        assert await peer.is_closed()
 
 
 @runs_in_event_loop
 async def test_empty_lines_after_a_request_do_not_begin_another() -> None:
     """They are not answered 408 on an idle connection."""
-    async with gateway() as it:
-        client = await it.client()
-        await it.served(client)
-        (connection,) = it.downstream.connections
+    async with running_gateway() as gateway:
+        client = await gateway.client()
+        await gateway.serve_request(client)
+        (connection,) = gateway.client_server.connections
         last_activity, connection.last_activity = connection.last_activity, 0.0
         client.send(b"\r\n\r\n")
-        await until(lambda: connection.last_activity >= last_activity)
+        await wait_until(lambda: connection.last_activity >= last_activity)
         connection.reader.began_at -= 2 * client_server.REQUEST_READ_TIMEOUT_S
-        it.downstream.sweep()
-        await it.served(client)
+        gateway.client_server.sweep()
+        await gateway.serve_request(client)
 
 
 @runs_in_event_loop
 async def test_a_request_in_the_socket_is_served_although_its_connection_is_past_the_idle_timeout() -> None:
     """Its client would have to send it once more on a new connection."""
-    async with gateway() as it:
-        client = await it.client()
-        await it.served(client)
-        (connection,) = it.downstream.connections
+    async with running_gateway() as gateway:
+        client = await gateway.client()
+        await gateway.serve_request(client)
+        (connection,) = gateway.client_server.connections
         connection.last_activity -= 2 * client_server.IDLE_TIMEOUT_S
-        send_now(client.writer, ask())
-        it.downstream.sweep()
-        (await it.host.taken.get()).answer()
-        assert (await client.answer())[0] == 200
+        send_now(client.writer, encode_request())
+        gateway.client_server.sweep()
+        (await gateway.endpoint.requests.get()).respond()
+        assert (await client.read_response())[0] == 200
         connection.last_activity -= 2 * client_server.IDLE_TIMEOUT_S
-        it.downstream.sweep()
-        assert await client.closed()
+        gateway.client_server.sweep()
+        assert await client.is_closed()
 
 
 @runs_in_event_loop
@@ -159,20 +162,20 @@
     """Between the answer to one request and the start of the next an answer is still owed."""
     monkeypatch.setattr(client_server, "SHUTDOWN_POLL_S", 0.0)
     monkeypatch.setattr(client_server, "PARTIAL_REQUEST_GRACE_S", -1.0)
-    async with gateway() as it:
-        client = await it.client()
-        client.send(ask() + ask())
-        taken = await it.host.taken.get()
-        it.downstream.draining = True
-        finish = asyncio.create_task(it.downstream.close_connections())
+    async with running_gateway() as gateway:
+        client = await gateway.client()
+        client.send(encode_request() + encode_request())
+        received = await gateway.endpoint.requests.get()
+        gateway.client_server.draining = True
+        finish = asyncio.create_task(gateway.client_server.close_connections())
         await asyncio.sleep(0)
-        taken.answer()
-        assert (await client.answer())[0] == 200
-        (await it.host.taken.get()).answer()
-        status, head, _ = await client.answer()
+        received.respond()
+        assert (await client.read_response())[0] == 200
+        (await gateway.endpoint.requests.get()).respond()
+        status, head, _ = await client.read_response()
         assert status == 200
         assert head["connection"] == "close"
-        assert await client.closed()
+        assert await client.is_closed()
         client.writer.close()
         await finish
 
@@ -183,17 +186,17 @@
 ) -> None:
     """It is answered, whether or not its last byte has come, and not closed upon."""
     monkeypatch.setattr(client_server, "PARTIAL_REQUEST_GRACE_S", -1.0)
-    async with gateway() as it:
-        client = await it.client()
-        client.send(ask("buy", body=b"12", Content_Length="3"))
-        await until(lambda: any(c.reader.is_mid_request for c in it.downstream.connections))
-        it.downstream.draining = True
-        finish = asyncio.create_task(it.downstream.close_connections())
-        status, head, _ = await client.answer()
+    async with running_gateway() as gateway:
+        client = await gateway.client()
+        client.send(encode_request("buy", body=b"12", Content_Length="3"))
+        await wait_until(lambda: any(c.reader.is_mid_request for c in gateway.client_server.connections))
+        gateway.client_server.draining = True
+        finish = asyncio.create_task(gateway.client_server.close_connections())
+        status, head, _ = await client.read_response()
         assert status == 503
         assert head["connection"] == "close"
         client.send(b"3")
-        assert await client.closed()
+        assert await client.is_closed()
         client.writer.close()
         await finish
-        assert it.host.taken.empty()
+        assert gateway.endpoint.requests.empty()
--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -18,27 +18,32 @@
 from load_balancer.gateway.discovery_call import DiscoveryCall
 from load_balancer.gateway.discovery_messages import endpoint_id_of
 from tests.decisions.driver import SAFE, Driver, timers
-from tests.gateway.discovery_helpers import next_list, other_registry, watched
-from tests.sockets import chunk, entry, gateway, news, send_now, settings
+from tests.gateway.configurations import settings
+from tests.gateway.discovery_helpers import next_list, other_discovery, watched
+from tests.gateway.running_gateway import running_gateway
+from tests.gateway.stub_discovery import encode_chunk, endpoint_entry, watch_event
+from tests.gateway.stub_server import send_now
 
 
 async def test_a_watch_starts_from_the_cached_index_and_brings_changes() -> None:
-    async with gateway() as it:
-        assert await next_list(it) == (ListKind.CACHED, ["h0 ready"])
-        first, watch = await it.registry.watches.get()
+    async with running_gateway() as gateway:
+        assert await next_list(gateway) == (ListKind.CACHED, ["h0 ready"])
+        first, watch = await gateway.discovery.watches.get()
         assert first == "GET /registry/instances?stream=1&index=7 HTTP/1.1"
-        h1 = entry("h1", it.host.address, since_ms=1_700_000_000_123, zone="b", weight=1.5, group=3, new=1)
-        watch.write(chunk(news(h1)) + chunk("\n"))
-        event = await it.event(EndpointListReceived)
+        h1 = endpoint_entry(
+            "h1", gateway.endpoint.address, since_ms=1_700_000_000_123, zone="b", weight=1.5, group=3, new=1
+        )
+        watch.write(encode_chunk(watch_event(h1)) + encode_chunk("\n"))
+        event = await gateway.wait_for_event(EndpointListReceived)
         assert event.kind is ListKind.DELTA
         (server,) = event.endpoints
         assert (server.zone, server.kind, server.group, server.weight) == (1, 0, 3, 1.5)
         assert server.started_us == 1_700_000_000_123_000
-        watch.write(chunk(news(entry("h1", it.host.address, "left"))))
-        assert await next_list(it) == (ListKind.DELTA, ["h1 gone"])
-        watch.write(chunk(news(entry("h2", it.host.address), snapshot=True)))
-        assert await next_list(it) == (ListKind.COMPLETE, ["h2 ready"])
-        assert it.proxy.upstream.endpoints[endpoint_id_of("h0")].draining  # the full list lacks it
+        watch.write(encode_chunk(watch_event(endpoint_entry("h1", gateway.endpoint.address, "left"))))
+        assert await next_list(gateway) == (ListKind.DELTA, ["h1 gone"])
+        watch.write(encode_chunk(watch_event(endpoint_entry("h2", gateway.endpoint.address), snapshot=True)))
+        assert await next_list(gateway) == (ListKind.COMPLETE, ["h2 ready"])
+        assert gateway.proxy.upstream.endpoints[endpoint_id_of("h0")].draining  # the full list lacks it
 
 
 def retry_waits_s(failures: int, settings: Settings) -> list[float]:
@@ -64,70 +69,72 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(discovery, "REOPEN_BACKOFF_S", 0.0)
-    async with watched(settings={**settings(), "membershipMode": "pushed"}) as (it, watch):
+    async with watched(settings={**settings(), "membershipMode": "pushed"}) as (gateway, watch):
         watch.close()
-        _, watch = await it.registry.watches.get()
-        watch.write(chunk(news(entry("h1", it.host.address))))
-        assert await next_list(it) == (ListKind.DELTA, ["h1 ready"])  # and no error in between
+        _, watch = await gateway.discovery.watches.get()
+        watch.write(encode_chunk(watch_event(endpoint_entry("h1", gateway.endpoint.address))))
+        assert await next_list(gateway) == (ListKind.DELTA, ["h1 ready"])  # and no error in between
 
 
 async def test_an_address_that_changes_is_followed() -> None:
-    async with watched() as (it, watch):
-        watch.write(chunk(news(entry("h0", "127.0.0.1:9"))))
-        await next_list(it)
-        host = it.proxy.upstream.endpoints[endpoint_id_of("h0")]
-        assert host.address == ("127.0.0.1", 9)
-        watch.write(chunk(news(entry("h0", it.host.address, "leaving"))))
-        assert await next_list(it) == (ListKind.DELTA, [f"h0 {EndpointStatus.DRAINING.value}"])
-        assert host.draining
+    async with watched() as (gateway, watch):
+        watch.write(encode_chunk(watch_event(endpoint_entry("h0", "127.0.0.1:9"))))
+        await next_list(gateway)
+        endpoint = gateway.proxy.upstream.endpoints[endpoint_id_of("h0")]
+        assert endpoint.address == ("127.0.0.1", 9)
+        watch.write(encode_chunk(watch_event(endpoint_entry("h0", gateway.endpoint.address, "leaving"))))
+        assert await next_list(gateway) == (ListKind.DELTA, [f"h0 {EndpointStatus.DRAINING.value}"])
+        assert endpoint.draining
 
 
 async def test_a_changed_address_repeats_the_watch_and_the_poll_there() -> None:
-    async with watched() as (it, old), other_registry() as elsewhere:
-        old.write(chunk(news(entry("h1", it.host.address), index=8)))
-        await next_list(it)
-        elsewhere.whole = news(entry("h3", it.host.address), index=9, snapshot=True).encode()
-        it.proxy.execute(PollEndpoints())
-        it.proxy.discovery.change_address(parse_address(elsewhere.address))
+    async with watched() as (gateway, old), other_discovery() as elsewhere:
+        old.write(encode_chunk(watch_event(endpoint_entry("h1", gateway.endpoint.address), index=8)))
+        await next_list(gateway)
+        elsewhere.complete_list = watch_event(
+            endpoint_entry("h3", gateway.endpoint.address), index=9, snapshot=True
+        ).encode()
+        gateway.proxy.execute(PollEndpoints())
+        gateway.proxy.discovery.change_address(parse_address(elsewhere.address))
         first, watch = await elsewhere.watches.get()
         assert first == "GET /registry/instances?stream=1&index=8 HTTP/1.1"
-        assert await next_list(it) == (ListKind.COMPLETE, ["h3 ready"])
-        watch.write(chunk(news(entry("h2", it.host.address), index=10)))
-        assert await next_list(it) == (ListKind.DELTA, ["h2 ready"])
+        assert await next_list(gateway) == (ListKind.COMPLETE, ["h3 ready"])
+        watch.write(encode_chunk(watch_event(endpoint_entry("h2", gateway.endpoint.address), index=10)))
+        assert await next_list(gateway) == (ListKind.DELTA, ["h2 ready"])
 
 
 async def test_a_changed_address_is_asked_at_once_while_a_failed_call_backs_off() -> None:
     """The retry may be 4 s off, which is all the time until a change must be known."""
     changed = settings()
     changed["contract"] = {"mustAskInUs": 4_000_000_000, "stopSendingWithinUs": 0}
-    async with gateway(discovery="127.0.0.1:1", settings=changed) as it:
-        await next_list(it)
-        it.proxy.discovery.set_subscribed(True)
-        assert await next_list(it) == (ListKind.ERROR, [])
-        it.proxy.discovery.change_address(parse_address(it.registry.address))
-        _, watch = await it.registry.watches.get()
-        it.proxy.execute(SubscribeEndpoints())  # the repeat finds the watch open
-        watch.write(chunk(news(entry("h1", it.host.address))))
-        assert await next_list(it) == (ListKind.DELTA, ["h1 ready"])
-        assert it.registry.connections == 1
+    async with running_gateway(discovery="127.0.0.1:1", settings=changed) as gateway:
+        await next_list(gateway)
+        gateway.proxy.discovery.set_subscribed(True)
+        assert await next_list(gateway) == (ListKind.ERROR, [])
+        gateway.proxy.discovery.change_address(parse_address(gateway.discovery.address))
+        _, watch = await gateway.discovery.watches.get()
+        gateway.proxy.execute(SubscribeEndpoints())  # the repeat finds the watch open
+        watch.write(encode_chunk(watch_event(endpoint_entry("h1", gateway.endpoint.address))))
+        assert await next_list(gateway) == (ListKind.DELTA, ["h1 ready"])
+        assert gateway.discovery.connections == 1
 
 
 async def test_messages_of_the_old_address_are_ignored() -> None:
-    async with watched() as (it, old), other_registry() as elsewhere:
-        send_now(old, chunk(news(entry("h9", it.host.address))))
-        it.proxy.discovery.change_address(parse_address(elsewhere.address))
+    async with watched() as (gateway, old), other_discovery() as elsewhere:
+        send_now(old, encode_chunk(watch_event(endpoint_entry("h9", gateway.endpoint.address))))
+        gateway.proxy.discovery.change_address(parse_address(elsewhere.address))
         _, watch = await elsewhere.watches.get()
-        watch.write(chunk(news(entry("h2", it.host.address))))
-        assert await next_list(it) == (ListKind.DELTA, ["h2 ready"])
+        watch.write(encode_chunk(watch_event(endpoint_entry("h2", gateway.endpoint.address))))
+        assert await next_list(gateway) == (ListKind.DELTA, ["h2 ready"])
 
 
 async def test_an_invalid_address_is_an_error_and_is_retried() -> None:
     """Resolving it raises another error than OSError."""
-    async with watched() as (it, _):
-        it.proxy.discovery.change_address(("a..b", 80))
-        assert await next_list(it) == (ListKind.ERROR, [])
-        it.proxy.discovery.change_address(parse_address(it.registry.address))
-        await it.registry.watches.get()
+    async with watched() as (gateway, _):
+        gateway.proxy.discovery.change_address(("a..b", 80))
+        assert await next_list(gateway) == (ListKind.ERROR, [])
+        gateway.proxy.discovery.change_address(parse_address(gateway.discovery.address))
+        await gateway.discovery.watches.get()
 
 
 def test_a_pushed_list_is_reopened_long_before_a_drain_must_be_applied() -> None:
--- a/tests/gateway/test_discovery_messages.py
+++ b/tests/gateway/test_discovery_messages.py
@@ -10,48 +10,51 @@
 from load_balancer.gateway import event_log
 from load_balancer.gateway.discovery_messages import JsonStreamSplitter, endpoint_id_of
 from tests.gateway.discovery_helpers import next_list, watched
-from tests.sockets import chunk, entry, news
+from tests.gateway.stub_discovery import encode_chunk, endpoint_entry, watch_event
 
 
 async def test_a_line_in_pieces_is_one_line() -> None:
-    async with watched() as (it, watch):
-        line = news(entry("h1", it.host.address))
-        watch.write(chunk(line[:30]))
+    async with watched() as (gateway, watch):
+        line = watch_event(endpoint_entry("h1", gateway.endpoint.address))
+        watch.write(encode_chunk(line[:30]))
         await watch.drain()
-        watch.write(chunk(line[30:] + news(entry("h2", it.host.address))))
-        assert await next_list(it) == (ListKind.DELTA, ["h1 ready"])
-        assert await next_list(it) == (ListKind.DELTA, ["h2 ready"])
+        watch.write(encode_chunk(line[30:] + watch_event(endpoint_entry("h2", gateway.endpoint.address))))
+        assert await next_list(gateway) == (ListKind.DELTA, ["h1 ready"])
+        assert await next_list(gateway) == (ListKind.DELTA, ["h2 ready"])
 
 
 BAD_ENTRIES: list[object] = [
     7,
     {"name": "h1"},
-    entry("h1", "nowhere"),
-    entry("h1", "127.0.0.1:70000"),
-    entry("h1", "127.0.0.1:1", status="asleep"),
-    entry("h1", "127.0.0.1:1", zone="mars"),
-    entry("h1", "127.0.0.1:1", type="abacus"),
-    entry("h1", "127.0.0.1:1", weight=0),
-    entry("h1", "127.0.0.1:1", weight="heavy"),
-    entry("h1", "127.0.0.1:1", since_ms=None),
-    entry("h1", "127.0.0.1:1", since_ms=-5),
-    entry("h1", "127.0.0.1:1", group=[]),
+    endpoint_entry("h1", "nowhere"),
+    endpoint_entry("h1", "127.0.0.1:70000"),
+    endpoint_entry("h1", "127.0.0.1:1", status="asleep"),
+    endpoint_entry("h1", "127.0.0.1:1", zone="mars"),
+    endpoint_entry("h1", "127.0.0.1:1", type="abacus"),
+    endpoint_entry("h1", "127.0.0.1:1", weight=0),
+    endpoint_entry("h1", "127.0.0.1:1", weight="heavy"),
+    endpoint_entry("h1", "127.0.0.1:1", since_ms=None),
+    endpoint_entry("h1", "127.0.0.1:1", since_ms=-5),
+    endpoint_entry("h1", "127.0.0.1:1", group=[]),
 ]
 
 
 @pytest.mark.parametrize("bad", BAD_ENTRIES)
 async def test_a_malformed_entry_is_skipped(bad: object, caplog: pytest.LogCaptureFixture) -> None:
-    async with watched() as (it, watch):
-        watch.write(chunk(news(bad, entry("h2", it.host.address))))
-        assert await next_list(it) == (ListKind.DELTA, ["h2 ready"])
+    async with watched() as (gateway, watch):
+        watch.write(encode_chunk(watch_event(bad, endpoint_entry("h2", gateway.endpoint.address))))
+        assert await next_list(gateway) == (ListKind.DELTA, ["h2 ready"])
         assert "skipped a list entry" in caplog.text
 
 
 @pytest.mark.parametrize("bad", ["no json", "[]", '{"index":9}', '{"endpoints":{}}', "\xff"])
 async def test_a_malformed_line_is_skipped(bad: str, caplog: pytest.LogCaptureFixture) -> None:
-    async with watched() as (it, watch):
-        watch.write(chunk(bad + "\n") + chunk(news(entry("h2", it.host.address))))
-        assert await next_list(it) == (ListKind.DELTA, ["h2 ready"])
+    async with watched() as (gateway, watch):
+        watch.write(
+            encode_chunk(bad + "\n")
+            + encode_chunk(watch_event(endpoint_entry("h2", gateway.endpoint.address)))
+        )
+        assert await next_list(gateway) == (ListKind.DELTA, ["h2 ready"])
         assert "skipped a message of discovery" in caplog.text
 
 
@@ -67,7 +70,9 @@
 
 @pytest.mark.parametrize("indent", [None, 1])
 def test_a_long_list_in_small_pieces_is_joined_once(indent: int | None) -> None:
-    text = json.dumps(json.loads(news(*(entry(f"h{n}", "127.0.0.1:9") for n in range(200)))), indent=indent)
+    text = json.dumps(
+        json.loads(watch_event(*(endpoint_entry(f"h{n}", "127.0.0.1:9") for n in range(200)))), indent=indent
+    )
     data, splitter, Piece.added = text.encode() + b"\n\n" + text.encode()[:50], JsonStreamSplitter(), 0
     found = []
     for start in range(0, len(data), 100):
@@ -81,46 +86,66 @@
 
 async def test_an_indented_list_is_one_message() -> None:
     """Its lines are not messages of their own."""
-    async with watched() as (it, watch):
-        whole = json.loads(news(entry("h1", it.host.address, note="} ["), entry("h2", it.host.address)))
+    async with watched() as (gateway, watch):
+        whole = json.loads(
+            watch_event(
+                endpoint_entry("h1", gateway.endpoint.address, note="} ["),
+                endpoint_entry("h2", gateway.endpoint.address),
+            )
+        )
         for indent in (2, 0, "\t"):
             text = json.dumps({**whole, "snapshot": True}, indent=indent) + "\n"
             for part in (text[:40], text[40:90], text[90:]):
-                watch.write(chunk(part))
-            assert await next_list(it) == (ListKind.COMPLETE, ["h1 ready", "h2 ready"])
-            watch.write(chunk("\n") + chunk(news(entry("h2", it.host.address, "leaving"))))
-            assert await next_list(it) == (ListKind.DELTA, ["h2 draining"])
+                watch.write(encode_chunk(part))
+            assert await next_list(gateway) == (ListKind.COMPLETE, ["h1 ready", "h2 ready"])
+            watch.write(
+                encode_chunk("\n")
+                + encode_chunk(watch_event(endpoint_entry("h2", gateway.endpoint.address, "leaving")))
+            )
+            assert await next_list(gateway) == (ListKind.DELTA, ["h2 draining"])
 
 
 @pytest.mark.parametrize("bad", ["{", '{"index": 9, "endpoints": [', "[[[", "}"])
 async def test_a_truncated_message_does_not_cost_the_next(bad: str, caplog: pytest.LogCaptureFixture) -> None:
-    async with watched() as (it, watch):
-        watch.write(chunk(bad + "\n") + chunk(news(entry("h2", it.host.address))))
-        assert await next_list(it) == (ListKind.DELTA, ["h2 ready"])
-        watch.write(chunk(bad + "\n") + chunk("\n"))
-        watch.write(chunk(json.dumps(json.loads(news(entry("h3", it.host.address))), indent=1) + "\n"))
-        assert await next_list(it) == (ListKind.DELTA, ["h3 ready"])
+    async with watched() as (gateway, watch):
+        watch.write(
+            encode_chunk(bad + "\n")
+            + encode_chunk(watch_event(endpoint_entry("h2", gateway.endpoint.address)))
+        )
+        assert await next_list(gateway) == (ListKind.DELTA, ["h2 ready"])
+        watch.write(encode_chunk(bad + "\n") + encode_chunk("\n"))
+        watch.write(
+            encode_chunk(
+                json.dumps(json.loads(watch_event(endpoint_entry("h3", gateway.endpoint.address))), indent=1)
+                + "\n"
+            )
+        )
+        assert await next_list(gateway) == (ListKind.DELTA, ["h3 ready"])
         event_log.flush()  # the second within a second is counted
         assert caplog.text.count("skipped a message of discovery") == 2
 
 
 async def test_a_complete_list_keeps_endpoints_whose_entries_cannot_be_read() -> None:
     """An endpoint is not gone because its entry cannot be read."""
-    async with watched(hosts=2) as (it, watch):
-        listed = [entry("h0", "nowhere"), entry("h2", it.host.address), entry("h3", "nowhere")]
-        watch.write(chunk(news(*listed, snapshot=True)))
-        assert await next_list(it) == (ListKind.COMPLETE, ["h0 ready", "h2 ready"])
-        hosts = it.proxy.upstream.endpoints
+    async with watched(endpoints=2) as (gateway, watch):
+        listed = [
+            endpoint_entry("h0", "nowhere"),
+            endpoint_entry("h2", gateway.endpoint.address),
+            endpoint_entry("h3", "nowhere"),
+        ]
+        watch.write(encode_chunk(watch_event(*listed, snapshot=True)))
+        assert await next_list(gateway) == (ListKind.COMPLETE, ["h0 ready", "h2 ready"])
+        hosts = gateway.proxy.upstream.endpoints
         assert [hosts[endpoint_id_of(f"h{n}")].draining for n in range(3)] == [False, True, False]
 
 
-@pytest.mark.parametrize("listed", [[], [7, {}], [entry("h7", "nowhere")]])
+@pytest.mark.parametrize("listed", [[], [7, {}], [endpoint_entry("h7", "nowhere")]])
 async def test_a_complete_list_without_readable_entries_is_ignored(
     listed: list[object], caplog: pytest.LogCaptureFixture
 ) -> None:
-    async with watched() as (it, watch):
-        watch.write(chunk(news(*listed, snapshot=True)))
-        watch.write(chunk(news(entry("h2", it.host.address))))
-        assert await next_list(it) == (ListKind.DELTA, ["h2 ready"])
+    async with watched() as (gateway, watch):
+        watch.write(encode_chunk(watch_event(*listed, snapshot=True)))
+        watch.write(encode_chunk(watch_event(endpoint_entry("h2", gateway.endpoint.address))))
+        assert await next_list(gateway) == (ListKind.DELTA, ["h2 ready"])
         assert "a complete list without an endpoint" in caplog.text
-        await it.served(await it.client())
+        await gateway.serve_request(await gateway.client())
--- a/tests/gateway/test_endpoint_list_latency.py
+++ b/tests/gateway/test_endpoint_list_latency.py
@@ -13,13 +13,14 @@
 from load_balancer.gateway.discovery_call import DiscoveryCall
 from load_balancer.gateway.discovery_messages import WatchEvent
 from load_balancer.gateway.proxy import Proxy
-from tests.sockets import chunk, configuration, entry, news, settings
+from tests.gateway.configurations import configuration, settings
+from tests.gateway.stub_discovery import encode_chunk, endpoint_entry, watch_event
 
 PROMPT_S = 0.2  # until the answer to a call that does not queue
 REFUSED = b"HTTP/1.1 503 Any\r\nContent-Length: 0\r\n\r\n"
 OPENED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 OLD, CHANGED = (
-    OPENED + chunk(news(entry("h0", "127.0.0.1:9", state), index=8, snapshot=True))
+    OPENED + encode_chunk(watch_event(endpoint_entry("h0", "127.0.0.1:9", state), index=8, snapshot=True))
     for state in ("active", "leaving")
 )
 Answers = list[tuple[float, bytes]]  # after so many seconds, from the first call on; the last stands for all
@@ -70,7 +71,7 @@
         self.call_later(late_s, call.data_received, answer)
 
     def note(self, event: WatchEvent) -> None:
-        statuses = [entry.endpoint.status.value for entry in event.endpoints]
+        statuses = [endpoint_entry.endpoint.status.value for endpoint_entry in event.endpoints]
         if "draining" in statuses and not self.known.done():
             self.known.set_result(self.time())
 
--- a/tests/gateway/test_event_log.py
+++ b/tests/gateway/test_event_log.py
@@ -25,8 +25,11 @@
 )
 from load_balancer.gateway.log_events_page import render_page
 from load_balancer.gateway.repeat_counter import Fields, RepeatCounter
+from tests.gateway.configurations import configuration, settings
+from tests.gateway.event_loop import run_in_event_loop
+from tests.gateway.http_client import encode_request
 from tests.gateway.process_helpers import run_process
-from tests.sockets import ask, configuration, gateway, run, settings
+from tests.gateway.running_gateway import running_gateway
 
 ROOT = Path(__file__).parents[2]
 
@@ -162,7 +165,7 @@
     event_log.flush()
     caplog.set_level(logging.INFO)
     monkeypatch.setattr(caplog.handler, "formatter", make_formatter({"ROUTER_LOG": form}))
-    run(say())
+    run_in_event_loop(say())
     event_log.flush()
     fault = r"""ERROR failed on a request error="?RuntimeError\('a fault'\)"? request_id=7"""
     expected = rf"""@INFO endpoint 5: circuit breaker open request_class="buy card" cooldown_s=2.0
@@ -197,8 +200,8 @@
 def test_a_process_asked_for_json_writes_every_event_as_json(tmp_path: Path) -> None:
     """Repeats that are counted when a start fails, its loop closed, are written too."""
     path = tmp_path / "config.json"
-    with socket.create_server(("127.0.0.1", 0)) as taken:
-        listen = f"127.0.0.1:{taken.getsockname()[1]}"
+    with socket.create_server(("127.0.0.1", 0)) as listening:
+        listen = f"127.0.0.1:{listening.getsockname()[1]}"
         raw = configuration({}, "127.0.0.1:1", listen=listen, known={"endpoints": [7, 8, 9]})
         path.write_text(json.dumps(raw))
         logged = [json.loads(line) for line in run_process(path, ROUTER_LOG="json").stderr.splitlines()]
@@ -213,11 +216,13 @@
 async def test_an_event_of_a_request_names_it(caplog: pytest.LogCaptureFixture) -> None:
     """With its class and tenant by name, and the endpoint by address; suppressed lines are counted."""
     caplog.set_level(logging.INFO)
-    async with gateway(settings={**settings(), "tenants": [{"name": "acme"}, {"name": "zeta"}]}) as it:
-        (server,) = it.proxy.upstream.endpoints
+    async with running_gateway(
+        settings={**settings(), "tenants": [{"name": "acme"}, {"name": "zeta"}]}
+    ) as gateway:
+        (server,) = gateway.proxy.upstream.endpoints
         send: Any = Send
-        it.proxy.balancer.log.suppressed = 3
-        handle = it.proxy.balancer.handle
+        gateway.proxy.balancer.log.suppressed = 3
+        handle = gateway.proxy.balancer.handle
 
         def broken(now_us: int, event: Event) -> list[Action]:
             if isinstance(event, RequestArrived):
@@ -228,20 +233,20 @@
                 ]
             return handle(now_us, event)
 
-        it.proxy.balancer.handle = broken  # type: ignore[method-assign]
-        assert (await (await it.client()).ask(ask(Tenant="zeta")))[0] == 500
-        it.proxy.sweep()
+        gateway.proxy.balancer.handle = broken  # type: ignore[method-assign]
+        assert (await (await gateway.client()).request(encode_request(Tenant="zeta")))[0] == 500
+        gateway.proxy.sweep()
         logged: list[Any] = [record.msg for record in caplog.records if record.name == "load_balancer"]
         breaker, failed, suppressed = (
             event for event in logged if not event["event"].startswith("discovery")
         )
         about = {
-            "request_class": it.proxy.config.names.classes[0],
+            "request_class": gateway.proxy.config.names.classes[0],
             "tenant": "zeta",
             "endpoint_id": server,
         }
-        about["address"] = it.host.address
+        about["address"] = gateway.endpoint.address
         assert breaker == about | {"event": "circuit_breaker.changed", "state": "open"}
         assert failed.items() >= (about | {"event": "action.failed", "request_id": "1"}).items()
         assert suppressed == {"event": "balancer.suppressed", "suppressed": 3}
-        assert not it.proxy.balancer.log.suppressed
+        assert not gateway.proxy.balancer.log.suppressed
--- a/tests/gateway/test_process_start.py
+++ b/tests/gateway/test_process_start.py
@@ -21,11 +21,8 @@
 from load_balancer.gateway.client_server import ClientServer
 from load_balancer.gateway.discovery_messages import DiscoveredEndpoint
 from load_balancer.simulator.codec import parse_settings
+from tests.gateway.configurations import configuration, settings
 from tests.gateway.process_helpers import run_process
-from tests.sockets import (
-    configuration,
-    settings,
-)
 
 
 def without(key: str) -> dict[str, Any]:
@@ -168,9 +165,9 @@
 
 
 def test_an_address_in_use_is_one_line_and_a_failure(tmp_path: Path) -> None:
-    with socket.create_server(("127.0.0.1", 0)) as taken:
+    with socket.create_server(("127.0.0.1", 0)) as listening:
         path = tmp_path / "config.json"
         path.write_text(json.dumps(configuration({}, "127.0.0.1:1")))
-        done = run_process(path, ROUTER_LISTEN=f"127.0.0.1:{taken.getsockname()[1]}")
+        done = run_process(path, ROUTER_LISTEN=f"127.0.0.1:{listening.getsockname()[1]}")
     assert done.returncode == 1
     assert "cannot start" in done.stderr.splitlines()[-1]
--- a/tests/gateway/test_simultaneous_ends.py
+++ b/tests/gateway/test_simultaneous_ends.py
@@ -12,8 +12,12 @@
 from load_balancer.decisions.events import AttemptEnded, Outcome
 from load_balancer.gateway.request_ledger import PendingRequest
 from load_balancer.gateway.upstream_connection import UpstreamConnection
+from tests.gateway.configurations import settings
+from tests.gateway.event_loop import runs_in_event_loop, wait_until
+from tests.gateway.http_client import encode_request
+from tests.gateway.running_gateway import RunningGateway, running_gateway
 from tests.gateway.scripted_balancer import script_decisions, time_out
-from tests.sockets import Gateway, ask, gateway, runs_in_event_loop, send_now, settings, until
+from tests.gateway.stub_server import send_now
 
 ENDINGS = ["cancelled", "timed out", "malformed"]
 
@@ -24,11 +28,11 @@
     ending: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Else two copies of the request would be in flight for an instant."""
-    async with gateway(hosts=2, settings=settings(maxAttempts=2)) as it:
-        script_decisions(it, ["h0", "h1", "h0"], "h1")
-        client = await it.client()
+    async with running_gateway(endpoints=2, settings=settings(maxAttempts=2)) as gateway:
+        script_decisions(gateway, ["h0", "h1", "h0"], "h1")
+        client = await gateway.client()
         for _ in range(2):  # one idle connection to each, so that the second attempt has not to wait
-            await it.served(client)
+            await gateway.serve_request(client)
         write, open_before = UpstreamConnection.write, []
         descriptors: list[int] = []
 
@@ -39,19 +43,19 @@
             write(connection, attempt)
 
         monkeypatch.setattr(UpstreamConnection, "write", noting)
-        client.send(ask())
-        taken = await it.host.taken.get()
-        (request,) = it.proxy.ledger.pending.values()
+        client.send(encode_request())
+        received = await gateway.endpoint.requests.get()
+        (request,) = gateway.proxy.ledger.pending.values()
         (attempt,) = request.attempts
         assert attempt is not None
         if ending == "cancelled":
-            it.proxy.execute(Cancel(request.id, 0))
+            gateway.proxy.execute(Cancel(request.id, 0))
         elif ending == "timed out":
             attempt.abandon(Outcome.TIMEOUT)
         else:
-            taken.raw(b"no HTTP at all\r\n\r\n")
-        (await it.host.taken.get()).answer()
-        assert (await client.answer())[0] == 200
+            received.respond_raw(b"no HTTP at all\r\n\r\n")
+        (await gateway.endpoint.requests.get()).respond()
+        assert (await client.read_response())[0] == 200
         assert open_before == [[], [False]]
 
 
@@ -63,19 +67,19 @@
     return True
 
 
-def disconnect(request: PendingRequest, it: Gateway) -> None:
-    it.proxy.ledger.client_disconnected(request)
+def disconnect(request: PendingRequest, gateway: RunningGateway) -> None:
+    gateway.proxy.ledger.client_disconnected(request)
 
 
-def expire(request: PendingRequest, _it: Gateway) -> None:
+def expire(request: PendingRequest, _it: RunningGateway) -> None:
     time_out(request)
 
 
-def cancel(request: PendingRequest, it: Gateway) -> None:
-    it.proxy.execute(Cancel(request.id, len(request.attempts) - 1))
+def cancel(request: PendingRequest, gateway: RunningGateway) -> None:
+    gateway.proxy.execute(Cancel(request.id, len(request.attempts) - 1))
 
 
-End = Callable[[PendingRequest, Gateway], None]
+End = Callable[[PendingRequest, RunningGateway], None]
 ENDS: dict[End, Outcome] = {
     disconnect: Outcome.CANCELLED,  # by the balancer, at once
     expire: Outcome.TIMEOUT,
@@ -89,32 +93,32 @@
 @runs_in_event_loop
 async def test_the_first_of_simultaneous_ends_counts_once(first: End, second: End, answered: str) -> None:
     """A response, a time-out, a cancel and a disconnect, in each order and in one turn of the loop."""
-    async with gateway(settings=settings(maxAttempts=2)) as it:
-        script_decisions(it, ["h0", "h0"], "h0")
-        client = await it.client()
-        client.send(ask(Request_Id="first"))
-        taken = await it.host.taken.get()
-        (request,) = it.proxy.ledger.pending.values()
+    async with running_gateway(settings=settings(maxAttempts=2)) as gateway:
+        script_decisions(gateway, ["h0", "h0"], "h0")
+        client = await gateway.client()
+        client.send(encode_request(Request_Id="first"))
+        received = await gateway.endpoint.requests.get()
+        (request,) = gateway.proxy.ledger.pending.values()
         (attempt,) = request.attempts
         assert attempt is not None
         if answered != "not":
-            send_now(taken.writer, b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+            send_now(received.writer, b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         if answered == "read":
-            await until(lambda: attempt.done)
-        first(request, it)
-        second(request, it)
-        ended = await it.event(AttemptEnded)
+            await wait_until(lambda: attempt.done)
+        first(request, gateway)
+        second(request, gateway)
+        ended = await gateway.wait_for_event(AttemptEnded)
         if answered == "read":
             assert ended.outcome is Outcome.OK
-            assert (await client.answer())[0] == 200
+            assert (await client.read_response())[0] == 200
         else:
             assert ended.outcome is ENDS[first]
-            await it.host.left.get()
+            await gateway.endpoint.closed_connections.get()
         if answered != "read" and disconnect not in (first, second):
-            (await it.host.taken.get()).answer()
-            assert (await client.answer())[0] == 200
-        await it.served(await it.client(), ask(Request_Id="next"))
-        assert it.host.taken.empty()
-        assert not it.proxy.ledger.pending
-        assert it.proxy.ledger.unanswered == 0
-        assert sum(isinstance(e, AttemptEnded) and e.request_id == "1" for e in it.events) <= 1
+            (await gateway.endpoint.requests.get()).respond()
+            assert (await client.read_response())[0] == 200
+        await gateway.serve_request(await gateway.client(), encode_request(Request_Id="next"))
+        assert gateway.endpoint.requests.empty()
+        assert not gateway.proxy.ledger.pending
+        assert gateway.proxy.ledger.unanswered == 0
+        assert sum(isinstance(e, AttemptEnded) and e.request_id == "1" for e in gateway.events) <= 1
--- a/tests/lab/test_processes.py
+++ b/tests/lab/test_processes.py
@@ -8,7 +8,7 @@
 
 from lab.messages import ReadRegistryStats
 from lab.processes import Children, MemoryBoundError
-from tests.sockets import run
+from tests.gateway.event_loop import run_in_event_loop
 
 
 def test_a_child_over_the_bound_of_memory_is_ended_and_said_so(tmp_path: Path) -> None:
@@ -19,4 +19,4 @@
             with pytest.raises(MemoryBoundError, match="registry"):
                 await child.ask(ReadRegistryStats())
 
-    run(test())
+    run_in_event_loop(test())
--- a/tests/lab/test_stand_ins.py
+++ b/tests/lab/test_stand_ins.py
@@ -19,8 +19,11 @@
 from load_balancer.decisions.events import EndpointListReceived
 from load_balancer.gateway.client_server import ClientServer
 from load_balancer.gateway.proxy import Proxy
-from tests.sockets import Client, Gateway, StubEndpoint, run
-from tests.sockets import Registry as Scripted
+from tests.gateway.event_loop import run_in_event_loop
+from tests.gateway.http_client import HttpClient
+from tests.gateway.running_gateway import RunningGateway
+from tests.gateway.stub_discovery import StubDiscovery
+from tests.gateway.stub_endpoint import StubEndpoint
 
 SERVERS = 8
 
@@ -30,10 +33,10 @@
     registry: Registry
     statements: StatementServers
     ports: dict[str, int]
-    gateway: Gateway
+    gateway: RunningGateway
 
     async def listed(self, kind: ListKind, status: EndpointStatus | None = None) -> EndpointListReceived:
-        return await self.gateway.event(
+        return await self.gateway.wait_for_event(
             EndpointListReceived, lambda e: e.kind is kind and (not status or e.endpoints[0].status is status)
         )
 
@@ -61,16 +64,16 @@
     }
     config = parse_config(raw)
     proxy = Proxy(config, loop)
-    it = Gateway(proxy, ClientServer(config, proxy, loop), StubEndpoint(), Scripted())
-    it.watch_events()
+    it = RunningGateway(proxy, ClientServer(config, proxy, loop), StubEndpoint(), StubDiscovery())
+    it.record_events()
     await proxy.start()
-    await it.downstream.start()
+    await it.client_server.start()
     try:
         yield Rig(registry, statements, ports, it)
     finally:
-        assert it.downstream.listener is not None
-        it.downstream.listener.close()
-        for connection in list(it.downstream.connections):
+        assert it.client_server.listener is not None
+        it.client_server.listener.close()
+        for connection in list(it.client_server.connections):
             connection.close()
         proxy.close()
         registry.go_down()
@@ -83,18 +86,18 @@
     async def test() -> None:
         async with rig() as it:
             client = await it.gateway.client()
-            status, _, body = await client.ask(ask_bytes(route, tenant=2, number=0xAB))
+            status, _, body = await client.request(ask_bytes(route, tenant=2, number=0xAB))
             assert (status, body) == (200, b"00000000000000ab /route-%d\n" % route)
             stats = it.statements.stats["gateway"]
             assert (stats["requests"], stats["bad"]) == (1, 0)
 
-    run(test())
+    run_in_event_loop(test())
 
 
 def test_statement_servers_answer_each_form_of_request_by_protocol() -> None:
     async def test() -> None:
         async with rig() as it:
-            client = Client(*await asyncio.open_connection(fleet.host(5), it.ports["direct"]))
+            client = HttpClient(*await asyncio.open_connection(fleet.host(5), it.ports["direct"]))
             for path, headers, expected in (
                 ("/health/live", "", 404),
                 ("/stats", "", 404),
@@ -102,13 +105,13 @@
                 ("/route-0", "Request-Id: no-client-sent-this\r\n", 400),
                 ("/route-0", "Request-Id: 0123456789abcdef\r\n", 200),
             ):
-                status, head, _ = await client.ask(f"GET {path} HTTP/1.1\r\n{headers}\r\n".encode())
+                status, head, _ = await client.request(f"GET {path} HTTP/1.1\r\n{headers}\r\n".encode())
                 assert status == expected
                 assert ("server-load" in head) == (expected == 200)
             (connection,) = it.statements.connections["direct"]
             assert connection.server == 5
 
-    run(test())
+    run_in_event_loop(test())
 
 
 def test_the_watch_begins_with_what_has_changed_since() -> None:
@@ -124,7 +127,7 @@
             assert again.id == server.id
             assert again.started_us > 0
 
-    run(test())
+    run_in_event_loop(test())
 
 
 def test_an_index_that_is_not_held_brings_the_whole_list() -> None:
@@ -132,7 +135,7 @@
         async with rig(index=3) as it:
             assert len((await it.listed(ListKind.COMPLETE)).endpoints) == SERVERS
 
-    run(test())
+    run_in_event_loop(test())
 
 
 def test_an_outage_ends_watches_and_the_return_brings_what_was_missed() -> None:
@@ -145,7 +148,7 @@
             await it.registry.listen()
             assert len((await it.listed(ListKind.DELTA)).endpoints) == 2
 
-    run(test())
+    run_in_event_loop(test())
 
 
 def test_a_leaving_server_sees_its_idle_connection_closed(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -155,7 +158,7 @@
         async with rig() as it:
             await it.listed(ListKind.DELTA)
             client = await it.gateway.client()
-            await client.ask(ask_bytes(0, tenant=0, number=1))
+            await client.request(ask_bytes(0, tenant=0, number=1))
             ((server, count),) = await it.statements.handle(ListIdle())
             assert count == await it.statements.handle(WatchIdle(endpoint=server)) == 1
             since_ns = it.registry.change([(server, "leaving")], restarted=False)
@@ -163,7 +166,7 @@
                 await asyncio.sleep(0)
             assert len(closes.after_us) == 1
 
-    run(test())
+    run_in_event_loop(test())
 
 
 def test_a_call_that_waits_too_long_is_turned_away(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -174,4 +177,4 @@
             assert (await it.listed(ListKind.ERROR)).endpoints == ()
             assert it.registry.stats["real"]["turned_away"] >= 1
 
-    run(test())
+    run_in_event_loop(test())
--- a/tests/lab/test_up.py
+++ b/tests/lab/test_up.py
@@ -11,7 +11,7 @@
 
 import psutil
 
-from tests.sockets import PATIENCE_S
+from tests.gateway.event_loop import TEST_TIMEOUT_S
 
 
 def test_the_deployment_to_try_answers_its_curl_and_ends_whole() -> None:
@@ -23,7 +23,7 @@
         children = psutil.Process(child.pid).children(recursive=True)
         headers = dict(words[n + 1].split(": ", 1) for n, word in enumerate(words) if word == "-H")
         url = urlsplit(words[-1])
-        plain = http.client.HTTPConnection(url.netloc, timeout=PATIENCE_S)
+        plain = http.client.HTTPConnection(url.netloc, timeout=TEST_TIMEOUT_S)
         plain.request("GET", f"{url.path}?{url.query}", headers=headers)
         answer = plain.getresponse()
         assert (answer.status, answer.read()) == (200, b"0000000000000001 /view-timetable\n")
