--- /dev/null
+++ b/tests/decisions/dense_balancer.py
@@ -0,0 +1,189 @@
+"""A reference balancer with state for every endpoint, class and tenant, which it scans at each decision."""
+
+from __future__ import annotations
+
+import pytest
+
+from load_balancer.decisions import balancer as balancer_module
+from load_balancer.decisions.actions import Action
+from load_balancer.decisions.admission import AdmissionControl
+from load_balancer.decisions.balancer import Balancer
+from load_balancer.decisions.circuit_breaker import (
+    BREAKER_EXPIRY_US,
+    BreakerRegistry,
+    BreakerState,
+    CircuitBreaker,
+    breaker_key,
+)
+from load_balancer.decisions.demand import DEMAND_MEMORY_REQUESTS, FORGOTTEN_REQUESTS, Demand
+from load_balancer.decisions.dispatcher import Dispatcher
+from load_balancer.decisions.endpoint import Endpoint
+from load_balancer.decisions.endpoint_list import EndpointList
+from load_balancer.decisions.endpoint_state import EndpointState, breakers_for
+from load_balancer.decisions.events import (
+    Event,
+)
+from load_balancer.decisions.priority_order import MAX_EXACT_PARTS, PriorityOrder
+from load_balancer.decisions.quotas import QUOTA_BURST_S, Quotas
+from load_balancer.decisions.request import Request
+from load_balancer.decisions.settings import (
+    Settings,
+)
+from load_balancer.decisions.settings_version import SettingsVersion
+
+
+class DenseRegistry(BreakerRegistry):
+    """Walks all endpoints for the failure share of a key."""
+
+    endpoints: EndpointList
+
+    def failure_share(self, key: int, excluded: CircuitBreaker | None) -> float:
+        others = [s.breakers[key] for s in self.endpoints.by_id.values() if s.breakers[key] is not excluded]
+        closed = [b for b in others if b.state is BreakerState.CLOSED]
+        entries = sum(len(b.ring) for b in closed)
+        return sum(b.failures for b in closed) / entries if entries else 0.0
+
+
+class DenseEndpointList(EndpointList):
+    """Walks all endpoints for what the sparse one keeps in totals, and sorts them after each list."""
+
+    @property
+    def any_closed(self) -> bool:
+        return any(s.breakers[0].state is BreakerState.CLOSED for s in self.by_id.values())
+
+    def cooldown_left_us(self, key: int, now_us: int) -> int:
+        cooldowns = []
+        for endpoint in self.by_id.values():
+            opened = [
+                b.open_until_us for b in breakers_for(endpoint, key) if b and b.state is BreakerState.OPEN
+            ]
+            cooldowns.append(max(opened, default=now_us) - now_us)
+        return min(cooldowns, default=0)
+
+    def add(
+        self, endpoint: Endpoint, now_us: int, max_initial_work_us: float, settings: Settings
+    ) -> EndpointState:
+        others = [s.weight for s in self.by_id.values() if s.endpoint.id != endpoint.id]
+        state = super().add(endpoint, now_us, max_initial_work_us, settings)
+        if others:
+            assert state.weight == pytest.approx(sum(others) / len(others), rel=1e-12)
+        return state
+
+    def update_ranks(self, removed: list[EndpointState], added: list[EndpointState]) -> None:
+        del removed, added
+        self.by_rank = sorted(self.by_id.values(), key=lambda endpoint: endpoint.rank)
+
+
+class DenseDispatcher(Dispatcher):
+    """Walks all classes for the slowest."""
+
+    def pick(self, request: Request) -> EndpointState | None:
+        classes = self._context.classes
+        classes.slowest = max(classes, key=lambda request_class: request_class.smoothed_us)
+        return super().pick(request)
+
+
+class DenseQuotas(Quotas):
+    """A bucket for every tenant."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.buckets: dict[int, tuple[float, int]] = {}
+
+    def is_over(self, tenant_index: int, first_try: bool, now_us: int, version: SettingsVersion) -> bool:
+        settings = version.settings
+        if not settings.tenants:
+            return False
+        quota = settings.tenants[tenant_index].quota_per_s / settings.gateways
+        left, at_us = self.buckets.get(tenant_index, (quota * QUOTA_BURST_S, 0))
+        left = min(quota * QUOTA_BURST_S, left + quota * (now_us - at_us) / 1e6)
+        over = quota > 0.0 and left < 1.0
+        self.buckets[tenant_index] = (left - (first_try and not over), now_us)
+        return over
+
+
+class DenseDemand(Demand):
+    """Counts for every class besides the sparse ones, which must be equal."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.asked, self.beyond = list[float](), list[float]()
+
+    def note_first_try(self, class_id: int, over_quota: bool) -> None:
+        (self.beyond if over_quota else self.asked)[class_id] += 1
+        if sum(self.asked) + sum(self.beyond) > DEMAND_MEMORY_REQUESTS:
+            self.asked = [n / 2 for n in self.asked]
+            self.beyond = [n / 2 for n in self.beyond]
+            for index in range(len(self.asked)):
+                if self.asked[index] + self.beyond[index] < FORGOTTEN_REQUESTS:
+                    self.asked[index] = self.beyond[index] = 0.0
+        super().note_first_try(class_id, over_quota)
+
+
+class DenseAdmission(AdmissionControl):
+    """Puts the work of every class in order, asked for or not."""
+
+    def sort_demand(self) -> None:
+        demand, settings, classes = self._demand, self._context.settings, self._context.classes
+        assert isinstance(demand, DenseDemand)
+        served = [demand.served.get(i, 0.0) for i in range(len(demand.asked))]
+        for counts, dense in ((demand.within_quota, demand.asked), (demand.over_quota, demand.beyond)):
+            assert [counts.get(i, 0.0) for i in range(len(dense))] == dense
+        total = sum(demand.asked) or 1.0
+        weighted = (c.priority_weight * a for c, a in zip(settings.classes, demand.asked, strict=True))
+        self.mean_priority_weight = sum(weighted) / total or 1.0
+        shares = (s / a if a else 1.0 for s, a in zip(served, demand.asked, strict=True))
+        self.worst_served_share = min(shares)
+        graded = [
+            (self.priority(classes[index], over), counts[index] * classes[index].unloaded_us)
+            for over, counts in ((False, demand.asked), (True, demand.beyond))
+            for index in range(len(classes))
+        ]
+        self.order = PriorityOrder(demand.changes, graded)
+        self.order.parts = len(demand.within_quota) + len(demand.over_quota)
+
+
+DENSE_PARTS = {
+    "BreakerRegistry": DenseRegistry,
+    "EndpointList": DenseEndpointList,
+    "Dispatcher": DenseDispatcher,
+    "Quotas": DenseQuotas,
+    "Demand": DenseDemand,
+    "AdmissionControl": DenseAdmission,
+}
+
+
+class DenseBalancer(Balancer):
+    """The same decisions over state for every endpoint, class and tenant, walked whole at each of them."""
+
+    def __init__(self, settings: Settings, seed: int) -> None:
+        with pytest.MonkeyPatch.context() as patch:
+            for name, part in DENSE_PARTS.items():
+                patch.setattr(balancer_module, name, part)
+            super().__init__(settings, seed)
+        assert isinstance(self.breakers, DenseRegistry)
+        assert isinstance(self.demand, DenseDemand)
+        self.breakers.endpoints = self.endpoints
+        count = len(settings.classes)
+        self.demand.asked, self.demand.beyond = [0.0] * count, [0.0] * count
+        tenants = range(max(1, len(settings.tenants)))
+        self.keys = (
+            0,
+            *(breaker_key(request_class, tenant) for request_class in range(count) for tenant in tenants),
+        )
+
+    def handle(self, now_us: int, event: Event) -> list[Action]:
+        self.breakers.closed.clear()  # nothing is dropped: what has lapsed is emptied where it stands
+        now_us = max(now_us, self.context.now_us)
+        for endpoint in self.endpoints.by_id.values():
+            for key in self.keys:
+                breaker = endpoint.breakers[key]
+                lapsed = now_us - breaker.last_outcome_us > BREAKER_EXPIRY_US
+                if breaker.state is BreakerState.CLOSED and lapsed:
+                    self.breakers.remove(breaker)
+                    breaker.ring, breaker.failures = b"", 0
+                    if key == 0:
+                        endpoint.breakers.recent.clear()
+        if self.admission.order.parts <= MAX_EXACT_PARTS:
+            self.admission.forget_order()
+        return super().handle(now_us, event)
