--- a/tests/decision_transcripts.py
+++ b/tests/decision_transcripts.py
@@ -30,7 +30,9 @@
 from load_balancer.simulator.codec import PARSERS, format_action, parse_settings, split_line
 from load_balancer.simulator.codec import parse_endpoint as parse_server
 from load_balancer.simulator.vocabulary import LIST_KINDS
-from tests.transcript_days import DAYS, LOG, MARK, Simulation
+from tests.transcript_simulation.days import DAYS
+from tests.transcript_simulation.simulation import Simulation
+from tests.transcript_simulation.wire import LOG, MARK
 
 DECISION_FILES = tuple(
     str(path)
--- a/tests/test_decision_transcripts.py
+++ b/tests/test_decision_transcripts.py
@@ -11,7 +11,8 @@
 import pytest
 
 from tests.decision_transcripts import LIMIT_CONSTANT, MismatchError, load, recorded, replay
-from tests.transcript_days import DAYS, LOG, MARK, Json
+from tests.transcript_simulation.days import DAYS
+from tests.transcript_simulation.wire import LOG, MARK, Json
 
 NAMES = [day.name for day in DAYS]
 PATHS = recorded()
--- /dev/null
+++ b/tests/transcript_simulation/endpoint.py
@@ -0,0 +1,69 @@
+"""Endpoints of the simulated fleet and the faults that they show for a while."""
+
+from __future__ import annotations
+
+import random
+from dataclasses import dataclass, field
+
+from tests.transcript_simulation.wire import SECOND, message
+
+MODES = ("healthy", "failing", "refusing_connections", "resetting", "full", "slow", "class_fault")
+MODE_WEIGHTS = (6, 3, 2, 1, 1, 2, 3)
+
+
+@dataclass
+class Endpoint:
+    """One endpoint of the simulated fleet: a first-in, first-out queue in front of its cores."""
+
+    number: int
+    started_us: int
+    size: float = 1.0
+    status: str = "Ready"
+    mode: str = "healthy"
+    bad_class: str = ""  # whose requests fail in mode class_fault
+    free_at_us: list[int] = field(default_factory=lambda: [0, 0])  # of each core
+    errors: int = 0
+
+    def queued_s(self, now_us: int) -> float:
+        """Seconds of work that wait at each core."""
+        return sum(max(0, at_us - now_us) for at_us in self.free_at_us) / len(self.free_at_us) / SECOND
+
+    def listed_weight(self, now_us: int, live: bool) -> float:
+        """Its listed weight; a live one falls with the work held."""
+        return round(self.size / (1.0 + 25.0 * self.queued_s(now_us)), 4) if live else self.size
+
+    def line(self, now_us: int, live: bool) -> str:
+        """Its entry in a list."""
+        return message(
+            "host",
+            host=self.number,
+            status=self.status,
+            heft=max(0.01, self.listed_weight(now_us, live)),
+            campus=self.number % 3,
+            group=self.number % 4,
+            classOfHost=self.number % 2,
+            sinceUs=self.started_us,
+        )
+
+    def serve(
+        self, work_us: int, class_name: str, now_us: int, chance_source: random.Random
+    ) -> tuple[str, int]:
+        """The verdict on an attempt and its duration, in microseconds, unless something ends it before."""
+        chance = chance_source.random()
+        if self.mode == "refusing_connections":
+            return "521", 1_500
+        if self.mode == "full" or self.queued_s(now_us) > 1.0:
+            return "429", 1_000
+        work_us = int(work_us * chance_source.uniform(0.7, 1.4))
+        work_us *= 12 if self.mode == "slow" else 1
+        core = self.free_at_us.index(min(self.free_at_us))
+        end_us = max(now_us, self.free_at_us[core]) + work_us
+        self.free_at_us[core] = end_us
+        after_us = end_us - now_us
+        faulty = self.mode == "class_fault" and self.bad_class == class_name
+        if faulty or chance < (0.7 if self.mode == "failing" else 0.01):
+            self.errors += 1
+            return "502", after_us // 4
+        if chance > (0.4 if self.mode == "resetting" else 0.995):
+            return "520", after_us // 2
+        return "200", after_us
