--- a/lab/model/commands.py
+++ b/lab/model/commands.py
@@ -14,6 +14,7 @@
 
 from lab.model import comparison, experiment, scenario_files, summary
 from lab.model.errors import ScenarioError, UsageError
+from lab.model.knobs import parse_knob
 from lab.model.policies import POLICIES
 from lab.model.results import Result, of_policy
 from lab.model.scenario import Scenario
@@ -83,7 +84,7 @@
         scenario,
         tuple(dict.fromkeys(names or check_policies(scenario, scenario_name))),
         seeds or scenario.seeds,
-        tuple(experiment.parse_knob(text) for text in knobs),
+        tuple(parse_knob(text) for text in knobs),
     )
 
 
--- a/lab/model/experiment.py
+++ b/lab/model/experiment.py
@@ -5,7 +5,6 @@
 import hashlib
 import json
 import multiprocessing
-import re
 import signal
 from collections.abc import Callable, Iterable, Iterator
 from concurrent.futures import Future, ProcessPoolExecutor, as_completed
@@ -13,74 +12,20 @@
 from pathlib import Path
 
 import msgspec
-import numpy as np
 
 import load_balancer
 from lab.model import policies, score
 from lab.model.errors import UsageError
-from lab.model.knobs import OLD_KNOBS, decision_modules
+from lab.model.knobs import Knob, apply_knobs
 from lab.model.results import FILE, Result, read, write
 from lab.model.scenario import Scenario
 from lab.model.world import World
-from load_balancer import decisions
 
 
-@dataclass(frozen=True, slots=True)
-class Knob:
-    """A constant of the decisions, and the value that it has in these runs."""
-
-    module: str  # as the command names it
-    name: str
-    value: int | float
-
-    @property
-    def text(self) -> str:
-        """As on the command line."""
-        return f"{self.module}.{self.name}={self.value}"
-
-    @property
-    def constant(self) -> tuple[str, str]:
-        """The module of the decisions and the constant's name there, whichever name the command used."""
-        spelling = f"{self.module}.{self.name}"
-        module, _, name = OLD_KNOBS.get(spelling, spelling).partition(".")
-        return f"{decisions.__name__}.{module}", name
-
-
-def parse_knob(text: str) -> Knob:
-    """A knob as circuit_breaker.RING_SIZE=20; UsageError for one that is not there or of another type."""
-    found = re.fullmatch(r"([a-z][a-z_]*)\.([A-Z][A-Z0-9_]*)=(\S+)", text)
-    if found is None:
-        raise UsageError(f"--knob {text}: expected MODULE.NAME=NUMBER, as circuit_breaker.RING_SIZE=20")
-    module, name, digits = found.groups()
-    path, constant = Knob(module, name, 0).constant
-    modules = {module.__name__: module for module in decision_modules()}
-    if path not in modules:
-        raise UsageError(f"--knob {text}: there is no constant {module}.{name}")
-    before = getattr(modules[path], constant, None)
-    if isinstance(before, bool) or not isinstance(before, int | float):
-        raise UsageError(f"--knob {text}: {path} has no number {constant}")
-    try:
-        value = int(digits) if isinstance(before, int) else float(digits)
-    except ValueError:
-        raise UsageError(f"--knob {text}: expected {type(before).__name__} for {name}") from None
-    if not np.isfinite(value):
-        raise UsageError(f"--knob {text}: expected a finite number for {name}")
-    return Knob(module, name, value)
-
-
-def begin_worker(knobs: Iterable[Knob]) -> None:
-    """An interrupt is the parent's to handle: it lets the days under way come to their end."""
+def initialize_worker(knobs: Iterable[Knob]) -> None:
+    """Prepare a worker process: ignore interrupts, as the parent lets the runs under way finish."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
-    turn(knobs)
-
-
-def turn(knobs: Iterable[Knob]) -> None:
-    """Set the constants wherever the decisions' modules hold them, in this process."""
-    for knob in knobs:
-        name = knob.constant[1]
-        for module in decision_modules():
-            if hasattr(module, name):
-                setattr(module, name, knob.value)
+    apply_knobs(knobs)
 
 
 @dataclass(frozen=True, slots=True)
@@ -165,10 +110,10 @@
 
 
 def play_all(plan: Plan, tasks: list[tuple[str, int]], jobs: int) -> Iterator[Result]:
-    """The results as they come, of worker processes that have the knobs turned before they begin."""
+    """Yield the results as they come, from worker processes that apply the plan's knobs first."""
     context = multiprocessing.get_context("spawn")
     pool = ProcessPoolExecutor(
-        min(jobs, len(tasks)), context, initializer=begin_worker, initargs=(plan.knobs,)
+        min(jobs, len(tasks)), context, initializer=initialize_worker, initargs=(plan.knobs,)
     )
     try:
         futures: list[Future[Result]] = [pool.submit(play, plan.scenario, *task) for task in tasks]
--- a/lab/model/knobs.py
+++ b/lab/model/knobs.py
@@ -4,9 +4,14 @@
 
 import importlib
 import pkgutil
-from collections.abc import Iterator
+import re
+from collections.abc import Iterable, Iterator
+from dataclasses import dataclass
 from types import ModuleType
 
+import numpy as np
+
+from lab.model.errors import UsageError
 from load_balancer import decisions
 
 OLD_KNOBS = {
@@ -77,3 +82,59 @@
     """Yield all modules of the decisions: those that use a constant hold it under the same name."""
     for found in pkgutil.iter_modules(decisions.__path__):
         yield importlib.import_module(f"{decisions.__name__}.{found.name}")
+
+
+@dataclass(frozen=True, slots=True)
+class Knob:
+    """A constant of the decisions, and the value that it has in these runs."""
+
+    module: str  # as the command names it
+    name: str
+    value: int | float
+
+    @property
+    def text(self) -> str:
+        """As on the command line."""
+        return f"{self.module}.{self.name}={self.value}"
+
+    @property
+    def constant(self) -> tuple[str, str]:
+        """The module of the decisions and the constant's name there, whichever name the command used."""
+        spelling = f"{self.module}.{self.name}"
+        module, _, name = OLD_KNOBS.get(spelling, spelling).partition(".")
+        return f"{decisions.__name__}.{module}", name
+
+
+def parse_knob(text: str) -> Knob:
+    """Parse a knob as circuit_breaker.RING_SIZE=20.
+
+    Raises:
+        UsageError: The text has another form, there is no such constant, or the value is of another type.
+    """
+    found = re.fullmatch(r"([a-z][a-z_]*)\.([A-Z][A-Z0-9_]*)=(\S+)", text)
+    if found is None:
+        raise UsageError(f"--knob {text}: expected MODULE.NAME=NUMBER, as circuit_breaker.RING_SIZE=20")
+    module, name, digits = found.groups()
+    path, constant = Knob(module, name, 0).constant
+    modules = {module.__name__: module for module in decision_modules()}
+    if path not in modules:
+        raise UsageError(f"--knob {text}: there is no constant {module}.{name}")
+    before = getattr(modules[path], constant, None)
+    if isinstance(before, bool) or not isinstance(before, int | float):
+        raise UsageError(f"--knob {text}: {path} has no number {constant}")
+    try:
+        value = int(digits) if isinstance(before, int) else float(digits)
+    except ValueError:
+        raise UsageError(f"--knob {text}: expected {type(before).__name__} for {name}") from None
+    if not np.isfinite(value):
+        raise UsageError(f"--knob {text}: expected a finite number for {name}")
+    return Knob(module, name, value)
+
+
+def apply_knobs(knobs: Iterable[Knob]) -> None:
+    """Set the constants in all modules of the decisions that hold them, in this process."""
+    for knob in knobs:
+        name = knob.constant[1]
+        for module in decision_modules():
+            if hasattr(module, name):
+                setattr(module, name, knob.value)
--- a/tests/lab/model/test_experiment.py
+++ b/tests/lab/model/test_experiment.py
@@ -9,6 +9,7 @@
 
 from lab.model import experiment
 from lab.model.errors import UsageError
+from lab.model.knobs import parse_knob
 from lab.model.policies import POLICIES
 from lab.model.results import FILE
 from tests.lab.model.support import RELEASE, TINY, call_lab, parse_tiny
@@ -53,7 +54,7 @@
     experiment.run(experiment.Plan(parse_tiny(), ("random",), 1), tmp_path, 1, lambda _result: None)
     for plan in (
         experiment.Plan(parse_tiny(RELEASE), ("random",), 1),
-        experiment.Plan(parse_tiny(), ("random",), 1, (experiment.parse_knob("choice.STEP=0.5"),)),
+        experiment.Plan(parse_tiny(), ("random",), 1, (parse_knob("choice.STEP=0.5"),)),
     ):
         with pytest.raises(UsageError, match="expected an --out of its own"):
             experiment.run(plan, tmp_path, 1, lambda _result: None)
--- a/tests/lab/model/test_knobs.py
+++ b/tests/lab/model/test_knobs.py
@@ -7,6 +7,7 @@
 import pytest
 
 from lab.model import experiment
+from lab.model.knobs import apply_knobs, parse_knob
 from load_balancer.decisions import circuit_breaker, outliers
 from tests.lab.model.support import call_lab, parse_tiny
 
@@ -15,7 +16,7 @@
     for module in (outliers, circuit_breaker):
         monkeypatch.setattr(module, "RING_SIZE", circuit_breaker.RING_SIZE)  # put back after the test
     before = experiment.play(parse_tiny(), "rosedeal", 1)
-    experiment.turn([experiment.parse_knob("choice.RING=5")])
+    apply_knobs([parse_knob("choice.RING=5")])
     assert vars(outliers)["RING_SIZE"] == circuit_breaker.RING_SIZE == 5
     assert experiment.play(parse_tiny(), "rosedeal", 1) != before
 
--- a/tests/lab/test_stored_results.py
+++ b/tests/lab/test_stored_results.py
@@ -20,6 +20,7 @@
 from lab.__main__ import lab
 from lab.figures import slopes
 from lab.model import experiment, scenario_files, summary
+from lab.model.knobs import apply_knobs, parse_knob
 from lab.model.results import FILE, Result, of_policy, read, write
 
 ROOT = Path(__file__).parents[2]
@@ -160,7 +161,7 @@
 @pytest.mark.parametrize("name", KNOBS)
 def test_each_stored_knob_name_is_accepted(name: str) -> None:
     value = KNOBS[name]
-    knob = experiment.parse_knob(f"{name}={value}")
+    knob = parse_knob(f"{name}={value}")
     assert knob.text == f"{name}={value}"
     assert type(knob.value) is type(value)
 
@@ -168,12 +169,12 @@
 @pytest.mark.parametrize("text", EFFECTS)
 def test_each_stored_knob_has_its_stored_effect(text: str) -> None:
     """Of the names in knobs.json, those that change the first seed of tiny.toml when halved or doubled."""
-    knob, name = experiment.parse_knob(text), text.partition("=")[0]
-    experiment.turn([knob])
+    knob, name = parse_knob(text), text.partition("=")[0]
+    apply_knobs([knob])
     try:
         result = experiment.play(scenario_files.load(TINY), "rosedeal", 1)
     finally:
-        experiment.turn([experiment.parse_knob(f"{name}={KNOBS[name]}")])
+        apply_knobs([parse_knob(f"{name}={KNOBS[name]}")])
     assert {figure: result.get(figure) for figure in EFFECTS[text]} == EFFECTS[text]
 
 
