--- a/lab/module.py
+++ b/lab/module.py
@@ -9,15 +9,16 @@
 import time
 import tracemalloc
 from dataclasses import dataclass, field, replace
-from typing import Any
+from typing import Any, NamedTuple
 
+import numpy as np
 import psutil
 
 from lab import fleet, schedule
 from load_balancer.config.file import NameTable
-from load_balancer.decisions.actions import Action, Fail, Reject, Send, SetTimer
+from load_balancer.decisions.actions import Fail, Reject, Send, SetTimer
 from load_balancer.decisions.balancer import Balancer
-from load_balancer.decisions.endpoint import ListKind
+from load_balancer.decisions.endpoint import Endpoint, ListKind
 from load_balancer.decisions.events import (
     AttemptEnded,
     EndpointListReceived,
@@ -26,6 +27,7 @@
     RequestArrived,
     TimerFired,
 )
+from load_balancer.decisions.settings import Settings
 from load_balancer.gateway.discovery_messages import parse_list
 from load_balancer.simulator.codec import parse_settings
 
@@ -35,164 +37,210 @@
 RESTARTS = 200
 GAP_S = 0.001  # mean time between two requests
 ANSWER_US = 5_000
-FAILING = 0.03  # of the attempts
+ERROR_SHARE = 0.03  # of the attempts
+RESTART_GAP_US = 100_000
+WARM_UP_US = 60_000_000  # after the restarts, so that all endpoints have warmed up again
 # Overload: all servers together answer one request every so often, in turn, and more than twice as many come.
-JAM_GAP_S = 0.001
-JAM_TURN_US = 2_500
+OVERLOAD_GAP_S = 0.001
+OVERLOAD_TURN_US = 2_500
+
+
+class Size(NamedTuple):
+    """What one Balancer is measured at."""
+
+    servers: int
+    routes: int
+    tenants: int
 
 
 @dataclass
-class Play:
-    """One Balancer on a clock of its own; the time that `handle` takes is noted for each request."""
+class BalancerDriver:
+    """Drives one Balancer on a simulated clock and records the time that `handle` takes for each request."""
 
     balancer: Balancer
-    rng: Any
+    rng: np.random.Generator
     now_us: int = START_US
-    agenda: list[tuple[int, int, Event]] = field(default_factory=list)
-    spent_ns: dict[str, int] = field(default_factory=dict)
-    other_ns: int = 0  # timers
+    agenda: list[tuple[int, int, Event]] = field(default_factory=list)  # due, order of scheduling, event
+    spent_ns: dict[str, int] = field(default_factory=dict)  # by request id
+    other_ns: int = 0  # events that belong to no request
     refused: int = 0
-    sent: int = 0
-    jam: bool = False
-    free_us: int = 0  # in a jam: when the servers have answered what was sent by now
-    count: int = 0
+    overloaded: bool = False
+    free_us: int = 0  # under overload: when the servers have answered what was sent by now
+    scheduled: int = 0
     attempts: dict[str, int] = field(default_factory=dict)
 
-    def handle(self, event: Event) -> list[Action]:
+    def handle(self, event: Event) -> None:
         """Give an event to the Balancer and carry out what it decides."""
-        began = time.perf_counter_ns()
+        started_ns = time.perf_counter_ns()
         actions = self.balancer.handle(self.now_us, event)
-        took = time.perf_counter_ns() - began
+        took_ns = time.perf_counter_ns() - started_ns
         if isinstance(event, RequestArrived | AttemptEnded):
-            self.spent_ns[event.request_id] = self.spent_ns.get(event.request_id, 0) + took
+            self.spent_ns[event.request_id] = self.spent_ns.get(event.request_id, 0) + took_ns
         else:
-            self.other_ns += took
+            self.other_ns += took_ns
         for action in actions:
             if isinstance(action, Send):
                 self.answer(action)
             elif isinstance(action, SetTimer):
-                self.put(action.due_us, TimerFired(action.token))
+                self.schedule(action.due_us, TimerFired(action.token))
             elif isinstance(action, Reject | Fail):
                 self.refused += 1
-        return actions
 
-    def put(self, due_us: int, event: Event) -> None:
-        """Let an event happen at a time."""
-        self.count += 1
-        heapq.heappush(self.agenda, (due_us, self.count, event))
+    def handle_list(self, kind: ListKind, endpoints: tuple[Endpoint, ...]) -> float:
+        """Give an endpoint list to the Balancer; returns the milliseconds that it took."""
+        self.other_ns = 0
+        self.handle(EndpointListReceived(kind, endpoints))
+        return self.other_ns / 1e6
+
+    def schedule(self, due_us: int, event: Event) -> None:
+        """Handle an event once the clock has reached a time."""
+        self.scheduled += 1
+        heapq.heappush(self.agenda, (due_us, self.scheduled, event))
 
     def answer(self, send: Send) -> None:
-        """Let an attempt end, by chance in an error."""
-        self.sent += 1
+        """Schedule the end of an attempt, at random as an error."""
         number = self.attempts.get(send.request_id, 0)
         self.attempts[send.request_id] = number + 1
         after_us = ANSWER_US
-        if self.jam:
-            self.free_us = max(self.free_us, self.now_us) + JAM_TURN_US
+        if self.overloaded:
+            self.free_us = max(self.free_us, self.now_us) + OVERLOAD_TURN_US
             after_us += self.free_us - self.now_us
-        outcome = Outcome.ERROR if self.rng.random() < FAILING else Outcome.OK
+        outcome = Outcome.ERROR if self.rng.random() < ERROR_SHARE else Outcome.OK
         ended = AttemptEnded(
             send.request_id, number, send.endpoint_id, outcome, after_us, outcome is Outcome.OK
         )
-        self.put(self.now_us + after_us, ended)
+        self.schedule(self.now_us + after_us, ended)
 
-    def until(self, due_us: int) -> None:
-        """Let all happen that is due by a time."""
+    def advance_to(self, due_us: int) -> None:
+        """Handle all events that are due by a time, and set the clock to it."""
         while self.agenda and self.agenda[0][0] <= due_us:
             self.now_us, _, event = heapq.heappop(self.agenda)
             self.handle(event)
         self.now_us = due_us
 
-    def requests(self, seed: int, concern: str, routes: int, tenants: int, gap_s: float) -> dict[str, float]:
-        """Play seeded requests; microseconds of `handle` a request with its outcomes."""
+    def send_requests(self, seed: int, concern: str, size: Size, gap_s: float) -> dict[str, float]:
+        """Send seeded requests; returns the microseconds of `handle` for a request with its outcomes."""
         rng = schedule.stream(seed, concern)
         times = schedule.arrivals(rng, 1.0 / gap_s, REQUESTS * gap_s)
-        kinds = zip(
-            times.tolist(),
-            schedule.zipf(rng, routes, len(times)).tolist(),
-            schedule.zipf(rng, tenants, len(times)).tolist(),
-            strict=True,
-        )
-        self.spent_ns, self.other_ns, self.refused, self.sent = {}, 0, 0, 0
-        start_us, began = self.now_us, time.monotonic()
-        for number, (at_s, route, tenant) in enumerate(kinds):
-            self.until(start_us + int(at_s * 1e6))
+        routes = schedule.zipf(rng, size.routes, len(times)).tolist()
+        tenants = schedule.zipf(rng, size.tenants, len(times)).tolist()
+        arrivals = zip(times.tolist(), routes, tenants, strict=True)
+        self.spent_ns = {}
+        self.other_ns = 0
+        self.refused = 0
+        start_us = self.now_us
+        started_s = time.monotonic()
+        for number, (at_s, route, tenant) in enumerate(arrivals):
+            self.advance_to(start_us + int(at_s * 1e6))
             self.handle(
                 RequestArrived(f"{concern}{number}", route, 2_000_000, key=number * 7919, tenant=tenant)
             )
-            if time.monotonic() - began > SPAN_S:
+            if time.monotonic() - started_s > SPAN_S:
                 break
-        self.until(self.now_us + 3_000_000)
-        spent = sorted(ns / 1e3 for ns in self.spent_ns.values())
+        self.advance_to(self.now_us + 3_000_000)
+        return self.request_costs()
+
+    def request_costs(self) -> dict[str, float]:
+        """What the requests since the last start of sending have cost."""
+        spent_us = sorted(spent_ns / 1e3 for spent_ns in self.spent_ns.values())
         return {
-            "requests": len(spent),
-            "p50_us": statistics.median(spent),
-            "p99_us": spent[int(len(spent) * 0.99)],
-            "mean_us": (sum(spent) + self.other_ns / 1e3) / len(spent),
-            "refused_share": self.refused / len(spent),
+            "requests": len(spent_us),
+            "p50_us": statistics.median(spent_us),
+            "p99_us": spent_us[int(len(spent_us) * 0.99)],
+            "mean_us": (sum(spent_us) + self.other_ns / 1e3) / len(spent_us),
+            "refused_share": self.refused / len(spent_us),
         }
 
+    def restart_endpoints(self, seed: int, endpoints: tuple[Endpoint, ...]) -> list[float]:
+        """Restart random endpoints one after the other; returns the milliseconds that each took."""
+        rng = schedule.stream(seed, "restarts")
+        took_ms = []
+        started_s = time.monotonic()
+        for _ in range(RESTARTS):
+            self.advance_to(self.now_us + RESTART_GAP_US)
+            endpoint = endpoints[int(rng.integers(len(endpoints)))]
+            restarted = replace(endpoint, started_us=self.now_us)
+            took_ms.append(self.handle_list(ListKind.DELTA, (restarted,)))
+            if time.monotonic() - started_s > SPAN_S:
+                break
+        return took_ms
+
+
+@dataclass(frozen=True)
+class DriverCosts:
+    """What a driven Balancer has cost, by the names of the figures in a result."""
+
+    events_ms: dict[str, float]
+    resident_bytes: dict[str, int]
+    requests: dict[str, dict[str, float]]  # by kind of load
+
 
-def measure(servers: int, routes: int, tenants: int, seed: int) -> dict[str, Any]:
+def measure(size: Size, seed: int) -> dict[str, Any]:
     """One size: list and restart in milliseconds, request and outcome in microseconds, memory in bytes."""
     process = psutil.Process()
-    text = json.dumps(fleet.settings(routes, tenants))
-    raw = {"endpoints": fleet.entries(servers, 3000)}
+    text = json.dumps(fleet.settings(size.routes, size.tenants))
+    raw = {"endpoints": fleet.entries(size.servers, 3000)}  # held to the end: its memory isn't used again
     names = NameTable((), (), fleet.ZONES, ("m1",))
-    listed = parse_list(raw, names).to_balancer_event().endpoints
-    base = process.memory_info().rss
-    began = time.perf_counter()
+    endpoints = parse_list(raw, names).to_balancer_event().endpoints
+    base_bytes = process.memory_info().rss
+    started_s = time.perf_counter()
     settings = parse_settings(text)
-    settings_ms = (time.perf_counter() - began) * 1e3
-    before = process.memory_info().rss
-    balancer = Balancer(settings, seed)
-    play = Play(balancer, schedule.stream(seed, "outcomes"))
-    play.handle(EndpointListReceived(ListKind.CACHED, listed))
-    list_ms = play.other_ns / 1e6
-    held = process.memory_info().rss
-    play.other_ns = 0
-    play.handle(EndpointListReceived(ListKind.COMPLETE, listed))
-    again_ms = play.other_ns / 1e6
-
-    calm = play.requests(seed, "calm", routes, tenants, GAP_S)
-    after = process.memory_info().rss
-    rng, restarts, began = schedule.stream(seed, "restarts"), [], time.monotonic()
-    for _ in range(RESTARTS):
-        play.until(play.now_us + 100_000)
-        entry = listed[int(rng.integers(servers))]
-        play.other_ns = 0
-        play.handle(EndpointListReceived(ListKind.DELTA, (replace(entry, started_us=play.now_us),)))
-        restarts.append(play.other_ns / 1e6)
-        if time.monotonic() - began > SPAN_S:
-            break
-    play.until(play.now_us + 60_000_000)  # warm again
-    play.jam = True
-    jam = play.requests(seed, "jam", routes, tenants, JAM_GAP_S)
-    most = process.memory_info().rss
-    del balancer, play
-    tracemalloc.start()
-    balancer = Balancer(settings, seed)
-    balancer.handle(START_US, EndpointListReceived(ListKind.CACHED, listed))
-    exact, _ = tracemalloc.get_traced_memory()
+    settings_ms = (time.perf_counter() - started_s) * 1e3
+    settings_bytes = process.memory_info().rss - base_bytes
+    driven = measure_driven(settings, endpoints, size, seed)
+    list_bytes = traced_list_bytes(settings, endpoints, seed)
     return {
-        "servers": servers,
-        "routes": routes,
-        "tenants": tenants,
+        "servers": size.servers,
+        "routes": size.routes,
+        "tenants": size.tenants,
         "settings_ms": settings_ms,
-        "settings_memory_bytes": before - base,
-        "list_ms": list_ms,
-        "list_again_ms": again_ms,
-        "restart_ms": statistics.median(restarts),
-        "restart_most_ms": max(restarts),
-        "memory_list_bytes": exact,
-        "resident_list_bytes": held - before,
-        "resident_calm_bytes": after - before,
-        "resident_most_bytes": most - before,
-        "calm": calm,
-        "shedding": jam,
+        "settings_memory_bytes": settings_bytes,
+        **driven.events_ms,
+        "memory_list_bytes": list_bytes,
+        **driven.resident_bytes,
+        **driven.requests,
     }
 
 
+def measure_driven(settings: Settings, endpoints: tuple[Endpoint, ...], size: Size, seed: int) -> DriverCosts:
+    """The times of a Balancer through lists, requests, restarts and overload, and its resident bytes."""
+    process = psutil.Process()
+    before_bytes = process.memory_info().rss
+    driver = BalancerDriver(Balancer(settings, seed), schedule.stream(seed, "outcomes"))
+    list_ms = driver.handle_list(ListKind.CACHED, endpoints)
+    list_bytes = process.memory_info().rss - before_bytes
+    list_again_ms = driver.handle_list(ListKind.COMPLETE, endpoints)
+    calm = driver.send_requests(seed, "calm", size, GAP_S)
+    calm_bytes = process.memory_info().rss - before_bytes
+    restarts_ms = driver.restart_endpoints(seed, endpoints)
+    driver.advance_to(driver.now_us + WARM_UP_US)
+    driver.overloaded = True
+    shedding = driver.send_requests(seed, "jam", size, OVERLOAD_GAP_S)
+    return DriverCosts(
+        events_ms={
+            "list_ms": list_ms,
+            "list_again_ms": list_again_ms,
+            "restart_ms": statistics.median(restarts_ms),
+            "restart_most_ms": max(restarts_ms),
+        },
+        resident_bytes={
+            "resident_list_bytes": list_bytes,
+            "resident_calm_bytes": calm_bytes,
+            "resident_most_bytes": process.memory_info().rss - before_bytes,
+        },
+        requests={"calm": calm, "shedding": shedding},
+    )
+
+
+def traced_list_bytes(settings: Settings, endpoints: tuple[Endpoint, ...], seed: int) -> int:
+    """The bytes that a Balancer allocates for itself and a list, as Python traces them."""
+    tracemalloc.start()
+    balancer = Balancer(settings, seed)
+    balancer.handle(START_US, EndpointListReceived(ListKind.CACHED, endpoints))
+    allocated_bytes, _ = tracemalloc.get_traced_memory()
+    return allocated_bytes
+
+
 def middle(results: list[dict[str, Any]]) -> dict[str, Any]:
     """Of several runs of one size, the median of each figure, and how far apart the calm ones lie."""
     if failed := [result for result in results if "failed" in result]:
@@ -239,7 +287,8 @@
 
 def main() -> None:
     """A child: sizes and seed as arguments, one line of JSON out."""
-    print(json.dumps(measure(*map(int, sys.argv[1:5]))), flush=True)
+    servers, routes, tenants, seed = map(int, sys.argv[1:5])
+    print(json.dumps(measure(Size(servers, routes, tenants), seed)), flush=True)
 
 
 if __name__ == "__main__":
