--- a/lab/changes.py
+++ b/lab/changes.py
@@ -30,7 +30,7 @@
 )
 from load_balancer.decisions.settings_version import next_version
 from load_balancer.gateway.discovery_messages import parse_list
-from load_balancer.gateway.request_parsing import lookup_steps
+from load_balancer.gateway.request_parsing import RequestLookup, lookup_steps
 
 PLACEHOLDER = "the tenants stand here"
 TIMEOUT_US = 2_000_000
@@ -40,24 +40,26 @@
 
 @dataclass(frozen=True)
 class Change:
-    """A tenant comes or goes, at a place among the others."""
+    """A tenant is added or removed, at an index among the others."""
 
     added: bool
     number: int  # of the tenant's name
-    place: int
+    index: int
     allowance: float  # requests a second
 
 
 def changes(seed: int, tenants: int, count: int) -> list[Change]:
-    """By turns a new name comes and goes again, so that never more than one stands beside the `tenants`."""
-    rng, found = schedule.stream(seed, "changes"), list[Change]()
-    for n in range(count):
-        place, allowance = int(rng.integers(tenants + 1)), float(rng.integers(1, 1_000_000))
+    """Add a new tenant and remove it again, in turn: there is at most one beside the `tenants`."""
+    rng = schedule.stream(seed, "changes")
+    found: list[Change] = []
+    for number in range(count):
+        index = int(rng.integers(tenants + 1))
+        allowance = float(rng.integers(1, 1_000_000))
         last = found[-1] if found else None
         if last is not None and last.added:
             found.append(replace(last, added=False))
         else:
-            found.append(Change(True, tenants + n, place, allowance))
+            found.append(Change(True, tenants + number, index, allowance))
     return found
 
 
@@ -73,78 +75,109 @@
     def apply(self, change: Change) -> None:
         """Add or drop the change's tenant."""
         if not change.added:
-            del self.tenants[change.place]
+            del self.tenants[change.index]
             return
         tenant = {
             "name": fleet.tenant(change.number),
             "allowancePerS": change.allowance,
             "fraction": self.fraction,
         }
-        self.tenants.insert(change.place, json.dumps(tenant))
+        self.tenants.insert(change.index, json.dumps(tenant))
 
     def write(self, path: Path) -> int:
         """Write it where no gateway reads; returns how many bytes."""
         return path.write_bytes(f"{self.head}{', '.join(self.tenants)}{self.tail}".encode())
 
 
-def measure_changes(path: str, count: int, seed: int, played: list[Change]) -> ChangeCosts:
+class ChangeMeasurement:
+    """Balancers at the size of a configuration file, and the changes of its settings that are made to them.
+
+    The configuration and the lookup tables of before are released with each change, as in the gateway.
+    """
+
+    def __init__(self, path: Path) -> None:
+        self.file = path.with_suffix(".new")
+        self.document = Document(json.loads(path.read_text(encoding="utf-8")))
+        self.environ = {"ROUTER_CONFIG": str(self.file)}
+        self.document.write(self.file)
+        self.config = run_to_completion(read_steps(self.environ))
+        self.endpoints = parse_list(self.config.known, self.config.names).to_balancer_event().endpoints
+        self.config.known.clear()
+        self.lookup: RequestLookup | None = None
+        self.balancers: list[Balancer] = []
+        self.stalls = StallMonitor()
+
+    def start_balancers(self, count: int, seed: int) -> None:
+        """Start balancers that know the endpoints and have served requests."""
+        settings = self.config.settings
+        for index in range(count):
+            balancer = Balancer(settings, seed + index)
+            balancer.handle(0, EndpointListReceived(ListKind.COMPLETE, self.endpoints))
+            warm_up(balancer, seed + index, len(settings.classes), len(settings.tenants))
+            self.balancers.append(balancer)
+
+    def make_changes(self, changes_to_make: list[Change]) -> int:
+        """Make changes until MAX_SPAN_S has passed; returns how many were made."""
+        self.lookup = run_to_completion(lookup_steps(self.config))
+        gc.callbacks.append(self.stalls.collecting)
+        started_s = time.monotonic()
+        made = 0
+        try:
+            for change in changes_to_make:
+                if time.monotonic() - started_s > MAX_SPAN_S:
+                    break
+                made += 1
+                self.make_change(change)
+        finally:
+            gc.callbacks.remove(self.stalls.collecting)
+        return made
+
+    def make_change(self, change: Change) -> None:
+        """Write a change to the file, read it, and give its settings to all balancers."""
+        self.document.apply(change)
+        self.document.write(self.file)
+        self.config = self.stalls.take("read_steps", read_steps(self.environ, self.config))
+        self.lookup = self.stalls.take("lookup_steps", lookup_steps(self.config, self.lookup))
+        for balancer in self.balancers:
+            steps = next_version(balancer.settings_version, self.config.settings)
+            event = SettingsChanged(self.stalls.take("next_generation", steps))
+            began = now()
+            balancer.handle(balancer.context.now_us + 1, event)
+            self.stalls.note("handle(SettingsChanged)", began)
+
+
+def measure_changes(path: str, count: int, seed: int, changes_to_make: list[Change]) -> ChangeCosts:
     """Make changes to `count` balancers at the size of a configuration file."""
-    process, file, balancers = psutil.Process(), Path(path).with_suffix(".new"), list[Balancer]()
-    document, environ = (
-        Document(json.loads(Path(path).read_text(encoding="utf-8"))),
-        {"ROUTER_CONFIG": str(file)},
-    )
-    document.write(file)
-    config = run_to_completion(read_steps(environ))
-    listed = parse_list(config.known, config.names).to_balancer_event().endpoints
-    config.known.clear()
+    process = psutil.Process()
+    measurement = ChangeMeasurement(Path(path))
     gc.collect()
-    base = process.memory_info().rss
-    for n in range(count):
-        balancer = Balancer(config.settings, seed + n)
-        balancer.handle(0, EndpointListReceived(ListKind.COMPLETE, listed))
-        warm_up(balancer, seed + n, len(config.settings.classes), len(config.settings.tenants))
-        balancers.append(balancer)
+    base_bytes = process.memory_info().rss
+    measurement.start_balancers(count, seed)
     gc.collect()
     gc.freeze()  # as the gateway does once it has started
-    held, steady, lookup = process.memory_info().rss, StallMonitor(), run_to_completion(lookup_steps(config))
-    gc.callbacks.append(steady.collecting)
-    began_s, done = time.monotonic(), 0
-    try:
-        for change in played:
-            if time.monotonic() - began_s > MAX_SPAN_S:
-                break
-            done += 1
-            document.apply(change)
-            document.write(file)
-            config = steady.take("read_steps", read_steps(environ, config))
-            lookup = steady.take("lookup_steps", lookup_steps(config, lookup))
-            for balancer in balancers:
-                following = next_version(balancer.settings_version, config.settings)
-                event = SettingsChanged(steady.take("next_generation", following))
-                began = now()
-                balancer.handle(balancer.context.now_us + 1, event)
-                steady.note("handle(SettingsChanged)", began)
-    finally:
-        gc.callbacks.remove(steady.collecting)
+    started_bytes = process.memory_info().rss
+    made = measurement.make_changes(changes_to_make)
     gc.collect()
     return ChangeCosts(
         balancers=count,
-        changes=done,
-        steps=steady.result(),
-        bytes_each=(held - base) / count,
-        bytes_each_after=(process.memory_info().rss - base) / count,
+        changes=made,
+        steps=measurement.stalls.result(),
+        bytes_each=(started_bytes - base_bytes) / count,
+        bytes_each_after=(process.memory_info().rss - base_bytes) / count,
     )
 
 
 def warm_up(balancer: Balancer, seed: int, routes: int, tenants: int) -> None:
     """Serve requests at once, so that there is state of classes, tenants and endpoints to carry."""
-    asked = schedule.requests(seed, "met", float(WARM_UP_REQUESTS), 1.0, routes, tenants, 1)
-    for n, (route, tenant) in enumerate(zip(asked.routes, asked.tenants, strict=True)):
-        name, now_us = f"met {n}", 1_000_000 + 2_000 * n
-        actions = balancer.handle(now_us, RequestArrived(name, route, TIMEOUT_US, n, tenant=tenant))
-        for send in [action for action in actions if isinstance(action, Send)][:1]:
-            balancer.handle(now_us + 1_000, AttemptEnded(name, 0, send.endpoint_id, Outcome.OK, 1_000, True))
+    requests = schedule.requests(seed, "met", float(WARM_UP_REQUESTS), 1.0, routes, tenants, 1)
+    for number, (route, tenant) in enumerate(zip(requests.routes, requests.tenants, strict=True)):
+        request_id = f"met {number}"
+        now_us = 1_000_000 + 2_000 * number
+        arrived = RequestArrived(request_id, route, TIMEOUT_US, number, tenant=tenant)
+        sends = [action for action in balancer.handle(now_us, arrived) if isinstance(action, Send)]
+        for send in sends[:1]:
+            ended = AttemptEnded(request_id, 0, send.endpoint_id, Outcome.OK, 1_000, True)
+            balancer.handle(now_us + 1_000, ended)
 
 
 class ChangesChild:
@@ -161,8 +194,8 @@
             case StopPolling():
                 return await self.poll.stop()
             case MeasureChanges():
-                played = changes(command.seed, command.tenants, command.changes)
-                return measure_changes(command.path, command.count, command.seed, played)
+                changes_to_make = changes(command.seed, command.tenants, command.changes)
+                return measure_changes(command.path, command.count, command.seed, changes_to_make)
             case _:
                 assert_never(command)
 
