--- a/lab/registry.py
+++ b/lab/registry.py
@@ -10,11 +10,9 @@
 import time
 from collections.abc import Iterable
 from functools import partial
-from typing import Any, assert_never, cast
+from typing import Any, assert_never
 from urllib.parse import parse_qs
 
-import httptools
-
 from lab import fleet
 from lab.child import Handler, Hist, serve
 from lab.messages import (
@@ -33,6 +31,7 @@
     TimedChange,
     WrittenChange,
 )
+from lab.registry_connection import Call, chunk
 from load_balancer.gateway.discovery_messages import STATUSES, endpoint_id_of
 
 PATH = b"/registry/instances"
@@ -44,66 +43,6 @@
 MAX_WAIT_S = 1.0  # a call that would wait for longer ends with 503
 
 
-def chunk(data: bytes) -> bytes:
-    """A chunk of a chunked body."""
-    return b"%x\r\n%b\r\n" % (len(data), data)
-
-
-class Call(asyncio.Protocol):
-    """One connection of a gateway."""
-
-    def __init__(self, registry: Registry, gateway_kind: str) -> None:
-        self.registry, self.gateway_kind = registry, gateway_kind
-        self.parser = httptools.HttpRequestParser(self)
-        self.target = b""
-        self.transport: asyncio.Transport | None = None
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """See asyncio.Protocol."""
-        self.transport = cast(asyncio.Transport, transport)
-        self.registry.open.add(self)
-
-    def connection_lost(self, _exc: Exception | None) -> None:
-        """See asyncio.Protocol."""
-        self.transport = None
-        self.registry.open.discard(self)
-        self.registry.watches.pop(self, None)
-
-    def data_received(self, data: bytes) -> None:
-        """See asyncio.Protocol."""
-        try:
-            self.parser.feed_data(data)
-        except httptools.HttpParserError:
-            self.abort()
-
-    def on_message_begin(self) -> None:
-        """See httptools."""
-        self.target = b""
-
-    def on_url(self, url: bytes) -> None:
-        """See httptools."""
-        self.target += url
-
-    def on_message_complete(self) -> None:
-        """See httptools."""
-        self.registry.handle_call(self, self.target)
-
-    def write(self, data: bytes) -> None:
-        """Send and count, unless it is closing."""
-        if self.transport is not None and not self.transport.is_closing():
-            self.registry.stats[self.gateway_kind]["bytes"] += len(data)
-            self.transport.write(data)
-
-    def answer(self, status: int, body: bytes = b"") -> None:
-        """Send an answer of known length."""
-        self.write(b"HTTP/1.1 %d Any\r\nContent-Length: %d\r\n\r\n%b" % (status, len(body), body))
-
-    def abort(self) -> None:
-        """Close at once."""
-        if self.transport is not None:
-            self.transport.abort()
-
-
 class Registry:
     """The list, its changes, and the connections that ask for it."""
 
@@ -115,7 +54,7 @@
         self.template: list[fleet.EndpointEntry] = []
         self.changes: list[tuple[int, int, fleet.EndpointEntry]] = []  # index, number, entry as changed
         self.written: list[WrittenChange] = []  # since the last look
-        self.open: set[Call] = set()
+        self.open_calls: set[Call] = set()
         self.watches: dict[Call, None] = {}  # in order
         self.listeners: dict[str, asyncio.Server] = {}
         self.ports = dict.fromkeys(LISTEN_HOSTS, 0)
@@ -129,8 +68,11 @@
     async def listen(self) -> dict[str, str]:
         """Listen; returns the addresses by kind of gateways."""
         for kind, host in LISTEN_HOSTS.items():
+            create_call = partial(
+                Call, kind, self.stats[kind], self.open_calls, self.watches, self.handle_call
+            )
             server = await self.loop.create_server(
-                partial(Call, self, kind), host, self.ports[kind], backlog=1024, reuse_address=True
+                create_call, host, self.ports[kind], backlog=1024, reuse_address=True
             )
             self.listeners[kind] = server
             self.ports[kind] = server.sockets[0].getsockname()[1]
@@ -141,7 +83,7 @@
         for server in self.listeners.values():
             server.close()
         self.listeners.clear()
-        for call in list(self.open):
+        for call in list(self.open_calls):
             call.abort()
 
     def set_fleet(self, servers: int, port: int) -> None:
@@ -152,7 +94,7 @@
         self.oldest = self.index
         self.changes.clear()
         self.written.clear()
-        for call in list(self.open):
+        for call in list(self.open_calls):
             call.abort()
 
     # Calls
--- /dev/null
+++ b/lab/registry_connection.py
@@ -0,0 +1,88 @@
+"""A gateway's connection to the stand-in for discovery."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from typing import cast
+
+import httptools
+
+
+def chunk(data: bytes) -> bytes:
+    """A chunk of a chunked body."""
+    return b"%x\r\n%b\r\n" % (len(data), data)
+
+
+class Call(asyncio.Protocol):
+    """One connection of a gateway.
+
+    Args:
+        gateway_kind: The kind of gateways that connect to this address.
+        counters: Of this kind; the bytes that are written are added to "bytes".
+        open_calls: The open connections: this one is among them while it is open.
+        watches: The connections with a watch: this one is removed once it is closed.
+        handle_call: Called with the connection and the target of each request.
+    """
+
+    def __init__(
+        self,
+        gateway_kind: str,
+        counters: dict[str, int],
+        open_calls: set[Call],
+        watches: dict[Call, None],
+        handle_call: Callable[[Call, bytes], None],
+    ) -> None:
+        self.gateway_kind = gateway_kind
+        self.counters = counters
+        self.open_calls = open_calls
+        self.watches = watches
+        self.handle_call = handle_call
+        self.parser = httptools.HttpRequestParser(self)
+        self.target = b""
+        self.transport: asyncio.Transport | None = None
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """See asyncio.Protocol."""
+        self.transport = cast(asyncio.Transport, transport)
+        self.open_calls.add(self)
+
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """See asyncio.Protocol."""
+        self.transport = None
+        self.open_calls.discard(self)
+        self.watches.pop(self, None)
+
+    def data_received(self, data: bytes) -> None:
+        """See asyncio.Protocol."""
+        try:
+            self.parser.feed_data(data)
+        except httptools.HttpParserError:
+            self.abort()
+
+    def on_message_begin(self) -> None:
+        """See httptools."""
+        self.target = b""
+
+    def on_url(self, url: bytes) -> None:
+        """See httptools."""
+        self.target += url
+
+    def on_message_complete(self) -> None:
+        """See httptools."""
+        self.handle_call(self, self.target)
+
+    def write(self, data: bytes) -> None:
+        """Send and count, unless it is closing."""
+        if self.transport is not None and not self.transport.is_closing():
+            self.counters["bytes"] += len(data)
+            self.transport.write(data)
+
+    def answer(self, status: int, body: bytes = b"") -> None:
+        """Send an answer of known length."""
+        self.write(b"HTTP/1.1 %d Any\r\nContent-Length: %d\r\n\r\n%b" % (status, len(body), body))
+
+    def abort(self) -> None:
+        """Close at once."""
+        if self.transport is not None:
+            self.transport.abort()
