--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -3,19 +3,17 @@
 from __future__ import annotations
 
 import json
-import signal
-import subprocess
 import sys
 import tempfile
-import time
 from pathlib import Path
 from typing import Any
 
 import click
 import msgspec
-import psutil
 
 from lab import module, reload, reload_report, report, scale, schedule, up
+from lab.arguments import check_out, checked_bound, half_of_memory_mb, parse_size
+from lab.bounded import run_bounded
 from lab.model.commands import compare_command, report_command, run_command
 from lab.processes import ChildError
 from lab.records import Plan
@@ -24,7 +22,6 @@
 from load_balancer.config.file import parse_config
 
 DEFAULT_SIZES = ("10x3x2", "200x3x2", "4200x3x2", "10x3400x2", "10x3x2300")
-POLL_S = 0.05
 
 
 class OneLine(click.Group):
@@ -55,48 +52,6 @@
     """Measure the load balancer at a size, all on loopback, and play it in a model of the fleet."""
 
 
-def half_of_memory_mb() -> int:
-    """Half of the machine's memory."""
-    return int(psutil.virtual_memory().total / 2e6)
-
-
-def parse_size(text: str) -> tuple[int, int, int]:
-    """Servers, routes and tenants of a size as 200x3x2."""
-    parts = text.split("x")
-    if len(parts) != 3 or not all(part.isascii() and part.isdigit() and int(part) > 0 for part in parts):
-        raise click.BadParameter(f"{text!r} is not of the form SERVERSxROUTESxTENANTS")
-    servers, routes, tenants = map(int, parts)
-    return servers, routes, tenants
-
-
-def check_out(_context: click.Context, _parameter: click.Parameter, value: Path | None) -> Path | None:
-    """A result that cannot be written is known before the run, not after."""
-    if value is not None and (value.is_dir() or not value.parent.is_dir()):
-        raise click.BadParameter(f"{value} cannot be written")
-    return value
-
-
-def bounded(arguments: list[str], memory_mb: int) -> dict[str, Any]:
-    """What a child prints as JSON; it is ended once it holds more than `memory_mb` megabytes."""
-    before = signal.signal(signal.SIGTERM, signal.default_int_handler)  # so that the child is ended too
-    with subprocess.Popen([sys.executable, "-m", *arguments], stdout=subprocess.PIPE, text=True) as child:
-        try:
-            process = psutil.Process(child.pid)
-            while child.poll() is None:
-                if process.memory_info().rss > memory_mb * 1e6:
-                    return {"failed": f"over the bound of {memory_mb} MB"}
-                time.sleep(POLL_S)
-            assert child.stdout is not None
-            text = child.stdout.read()
-            return dict(json.loads(text)) if child.returncode == 0 else {"failed": f"exit {child.returncode}"}
-        except psutil.NoSuchProcess:
-            return {"failed": "ended too early"}
-        finally:
-            if child.poll() is None:
-                child.kill()
-            signal.signal(signal.SIGTERM, before)
-
-
 @lab.command("module")
 @click.option("--size", "sizes", multiple=True, help="SERVERSxROUTESxTENANTS; may be given several times.")
 @click.option("--servers", type=click.IntRange(1), help="One more size, with --routes and --tenants.")
@@ -128,7 +83,7 @@
     for size in chosen or map(parse_size, DEFAULT_SIZES):
         arguments = ["lab.module", *map(str, size), str(seed)]
         bound = memory_mb or half_of_memory_mb()
-        result = module.middle([bounded(arguments, bound) for _ in range(repeat)])
+        result = module.middle([run_bounded(arguments, bound) for _ in range(repeat)])
         results.append(result | dict(zip(("servers", "routes", "tenants"), size, strict=True)))
         print(f"{'x'.join(map(str, size))}: {result.get('failed', 'done')}", file=sys.stderr, flush=True)
     print(table(module.COLUMNS, map(module.row, results)))
@@ -205,14 +160,6 @@
     return run_to_folder(out, lambda report_progress: scale.play(plan, out, report_progress), report.report)
 
 
-def checked_bound(memory_mb: int | None) -> int:
-    """The bound on memory, by default half of the machine's."""
-    most = half_of_memory_mb()
-    if memory_mb is not None and memory_mb > most:
-        raise click.BadParameter(f"--memory-mb is above half of the machine's memory, {most}")
-    return memory_mb or most
-
-
 @lab.command("reload")
 @click.option("--servers", type=click.IntRange(4, 4200), default=200, show_default=True)
 @click.option("--routes", type=click.IntRange(1, 10_000), default=100, show_default=True)
--- /dev/null
+++ b/lab/arguments.py
@@ -0,0 +1,37 @@
+"""Checks of the command line's arguments, and their defaults."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import click
+import psutil
+
+
+def half_of_memory_mb() -> int:
+    """Half of the machine's memory."""
+    return int(psutil.virtual_memory().total / 2e6)
+
+
+def parse_size(text: str) -> tuple[int, int, int]:
+    """Servers, routes and tenants of a size as 200x3x2."""
+    parts = text.split("x")
+    if len(parts) != 3 or not all(part.isascii() and part.isdigit() and int(part) > 0 for part in parts):
+        raise click.BadParameter(f"{text!r} is not of the form SERVERSxROUTESxTENANTS")
+    servers, routes, tenants = map(int, parts)
+    return servers, routes, tenants
+
+
+def check_out(_context: click.Context, _parameter: click.Parameter, value: Path | None) -> Path | None:
+    """A result that cannot be written is known before the run, not after."""
+    if value is not None and (value.is_dir() or not value.parent.is_dir()):
+        raise click.BadParameter(f"{value} cannot be written")
+    return value
+
+
+def checked_bound(memory_mb: int | None) -> int:
+    """The bound on memory, by default half of the machine's."""
+    most = half_of_memory_mb()
+    if memory_mb is not None and memory_mb > most:
+        raise click.BadParameter(f"--memory-mb is above half of the machine's memory, {most}")
+    return memory_mb or most
