--- a/lab/changes.py
+++ b/lab/changes.py
@@ -13,7 +13,13 @@
 
 from lab import fleet, schedule
 from lab.child import Handler, serve
-from lab.messages import ChangeCommand, ChangeCosts, MeasureChanges, StartPolling, StopPolling
+from lab.gateway_messages import (
+    ChangeCommand,
+    ChangeCosts,
+    MeasureChanges,
+    StartPolling,
+    StopPolling,
+)
 from lab.readiness import ReadinessPoll
 from lab.stalls import StallMonitor, now
 from load_balancer.config.file import read_steps
--- a/lab/records.py
+++ b/lab/records.py
@@ -8,7 +8,12 @@
 import msgspec
 
 from lab.child import Hist
-from lab.messages import PoolStats, RegistryCounters, StatementCounters, TargetResult
+from lab.gateway_messages import PoolStats
+from lab.messages import (
+    RegistryCounters,
+    StatementCounters,
+    TargetResult,
+)
 
 Point = dict[str, Any]  # figures at one size, under the keys of result.json
 
--- a/lab/reload.py
+++ b/lab/reload.py
@@ -15,7 +15,11 @@
 from lab.changes import changes
 from lab.child import Hist
 from lab.figures import check_schedule, machine
-from lab.messages import MeasureChanges, StartPolling, StopPolling
+from lab.gateway_messages import (
+    MeasureChanges,
+    StartPolling,
+    StopPolling,
+)
 from lab.processes import Children, MemoryBoundError
 from lab.rig import ReportProgress, Rig
 from lab.scale import WARM_S
--- a/lab/rig.py
+++ b/lab/rig.py
@@ -14,6 +14,7 @@
 from lab import fleet
 from lab.child import Hist
 from lab.clients import DIRECT_SERVERS
+from lab.gateway_messages import ReadPoolStats
 from lab.messages import (
     Address,
     AwaitRequests,
@@ -21,7 +22,6 @@
     ListenForCalls,
     ListenForStatements,
     PlayRequests,
-    ReadPoolStats,
     ReadRegistryStats,
     ReadStatementStats,
     SetFleet,
--- a/lab/scale.py
+++ b/lab/scale.py
@@ -14,15 +14,17 @@
 from lab import schedule
 from lab.child import Hist
 from lab.figures import FULL_CORE, result
-from lab.messages import (
+from lab.gateway_messages import (
     AddGateways,
+    MeasureInForce,
+    ReadConfig,
+    StartRequests,
+)
+from lab.messages import (
     AwaitChanges,
     Command,
-    MeasureInForce,
     PlayChanges,
-    ReadConfig,
     RestoreEndpoints,
-    StartRequests,
     TakeWritten,
 )
 from lab.probes import probe_closes
--- a/lab/simulated_gateways.py
+++ b/lab/simulated_gateways.py
@@ -19,7 +19,7 @@
 
 from lab import fleet, schedule
 from lab.child import Handler, Hist, serve
-from lab.messages import (
+from lab.gateway_messages import (
     AddGateways,
     InForce,
     MeasureInForce,
@@ -28,8 +28,8 @@
     ReadConfig,
     ReadPoolStats,
     StartRequests,
-    WrittenChange,
 )
+from lab.messages import WrittenChange
 from load_balancer.config.file import Config, parse_config
 from load_balancer.decisions.actions import (
     Action,
--- a/lab/stalls.py
+++ b/lab/stalls.py
@@ -6,7 +6,7 @@
 from typing import TypeVar
 
 from lab.child import Hist
-from lab.messages import StepCost
+from lab.gateway_messages import StepCost
 from load_balancer.config.steps import Steps
 
 T = TypeVar("T")
