--- a/lab/client_connections.py
+++ b/lab/client_connections.py
@@ -56,7 +56,10 @@
     """One request, until its answer has come whole, its time is over or its connection has gone."""
 
     def __init__(self, target: Target, index: int, payload: bytes, expected: bytes, counted: bool) -> None:
-        self.target, self.index, self.payload, self.expected = target, index, payload, expected
+        self.target = target
+        self.index = index
+        self.payload = payload
+        self.expected = expected
         self.counted = counted
         self.began_ns = time.perf_counter_ns()
         self.connection: Connection | None = None
@@ -119,7 +122,8 @@
     """A connection that serves one request at a time."""
 
     def __init__(self, target: Target, index: int) -> None:
-        self.target, self.index = target, index
+        self.target = target
+        self.index = index
         self.transport: asyncio.Transport | None = None
         self.request: ClientRequest | None = None
         self.served = 0
@@ -135,7 +139,8 @@
     def write(self, request: ClientRequest) -> None:
         """Send a request."""
         assert self.transport is not None
-        self.request, request.connection = request, self
+        self.request = request
+        request.connection = self
         self.target.bytes += len(request.payload)
         self.transport.write(request.payload)
 
@@ -170,7 +175,8 @@
 
     def on_message_complete(self) -> None:
         """See httptools."""
-        self.complete, self.keep = True, self.parser.should_keep_alive()
+        self.complete = True
+        self.keep = self.parser.should_keep_alive()
 
     def connection_lost(self, _exc: Exception | None) -> None:
         """See asyncio.Protocol."""
--- a/lab/clients.py
+++ b/lab/clients.py
@@ -69,17 +69,18 @@
             command.tenants,
             len(command.gateways),
         )
-        kinds = zip(drawn.times_s, drawn.routes, drawn.tenants, drawn.targets, strict=True)
+        arrivals = zip(drawn.times_s, drawn.routes, drawn.tenants, drawn.targets, strict=True)
         pending: list[PlannedRequest] = []
-        for n, (at_s, route, tenant, gateway) in enumerate(kinds):
+        for number, (at_s, route, tenant, gateway) in enumerate(arrivals):
             while pending and pending[0].at_s <= at_s:
                 yield pending.pop(0)
-            number = command.first + 2 * n
-            yield PlannedRequest(at_s, "gateway", gateway, *exchange(route, tenant, number))
+            request_id = command.first + 2 * number
+            yield PlannedRequest(at_s, "gateway", gateway, *exchange(route, tenant, request_id))
             if command.direct:
-                direct_s, index = at_s + 0.5 / command.rate, n % len(command.direct)
+                direct_s = at_s + 0.5 / command.rate
+                index = number % len(command.direct)
                 pending.append(
-                    PlannedRequest(direct_s, "direct", index, *exchange(route, tenant, number + 1))
+                    PlannedRequest(direct_s, "direct", index, *exchange(route, tenant, request_id + 1))
                 )
         yield from pending
 
--- a/lab/model/actions.py
+++ b/lab/model/actions.py
@@ -44,8 +44,11 @@
         record: RunRecord,
         seed: int,
     ) -> None:
-        self._clock, self._delay_ms = clock, scenario.network.message_ms
-        self._network, self._gateways, self._record = network, gateways, record
+        self._clock = clock
+        self._delay_ms = scenario.network.message_ms
+        self._network = network
+        self._gateways = gateways
+        self._record = record
         self._rng = stream(seed, "peers")
 
     def send(self, gateway: ModelGateway, action: SendPeerMessage) -> None:
@@ -70,7 +73,10 @@
     def __init__(
         self, clock: Clock, scenario: Scenario, network: Network, fleet: EndpointFleet, record: RunRecord
     ) -> None:
-        self._clock, self._network, self._fleet, self._record = clock, network, fleet, record
+        self._clock = clock
+        self._network = network
+        self._fleet = fleet
+        self._record = record
         self._work_us = scenario.fleet.health_check_ms * 1e3
         self._connect_timeout_us = to_us(scenario.network.connect_timeout_ms / 1e3)
 
@@ -107,8 +113,14 @@
         fleet: EndpointFleet,
         rules: Rules,
     ) -> None:
-        self._clock, self._attempts, self._clients, self._registry = clock, attempts, clients, registry
-        self._peers, self._health_checks, self._fleet, self._rules = peers, health_checks, fleet, rules
+        self._clock = clock
+        self._attempts = attempts
+        self._clients = clients
+        self._registry = registry
+        self._peers = peers
+        self._health_checks = health_checks
+        self._fleet = fleet
+        self._rules = rules
 
     def execute(self, gateway: ModelGateway, action: Action) -> None:
         """Execute one action of a gateway."""
@@ -149,7 +161,8 @@
         elif action.active:
             self._registry.call(gateway, watch=True)
         else:
-            gateway.watching, gateway.last_call_us = False, self._clock.now_us
+            gateway.watching = False
+            gateway.last_call_us = self._clock.now_us
 
     def _fire(self, gateway: ModelGateway, epoch: int, token: int) -> None:
         if gateway.epoch == epoch:
--- a/lab/model/attempt_checks.py
+++ b/lab/model/attempt_checks.py
@@ -16,7 +16,9 @@
     """What the rules say of an attempt as it is sent."""
 
     def __init__(self, fleet: EndpointFleet, registry: Registry, rules: Rules) -> None:
-        self._fleet, self._registry, self._rules = fleet, registry, rules
+        self._fleet = fleet
+        self._registry = registry
+        self._rules = rules
 
     def check(self, gateway: ModelGateway, request: GatewayRequest, endpoint: ModelEndpoint) -> None:
         """Check an attempt that is about to be sent."""
--- a/lab/model/attempts.py
+++ b/lab/model/attempts.py
@@ -49,10 +49,16 @@
         rules: Rules,
         record: RunRecord,
     ) -> None:
-        self._clock, self._terms, self._workload = clock, scenario.fleet, workload
+        self._clock = clock
+        self._terms = scenario.fleet
+        self._workload = workload
         self._connect_timeout_us = to_us(scenario.network.connect_timeout_ms / 1e3)
-        self._network, self._fleet, self._checks = network, fleet, checks
-        self._clients, self._rules, self._record = clients, rules, record
+        self._network = network
+        self._fleet = fleet
+        self._checks = checks
+        self._clients = clients
+        self._rules = rules
+        self._record = record
 
     def send(self, gateway: ModelGateway, action: Send) -> None:
         """Begin an attempt."""
--- a/lab/model/choke.py
+++ b/lab/model/choke.py
@@ -44,11 +44,14 @@
             self._clock.call_at(due_us, self._end_rest, self._process, now_us)
 
     def _clear(self) -> None:
-        self.choked, self._resting_since_us, self._crowded_since_us = False, None, None
+        self.choked = False
+        self._resting_since_us = None
+        self._crowded_since_us = None
 
     def _end_crowd(self, process: int, since_us: int) -> None:
         if process == self._process and self._crowded_since_us == since_us and not self.choked:
-            self.choked, self._crowded_since_us = True, None
+            self.choked = True
+            self._crowded_since_us = None
             self.count += 1
             due_us = self._clock.now_us + to_us(self._terms.spell_s)
             self._clock.call_at(due_us, self._recover, process, self.count)
--- a/lab/model/clients.py
+++ b/lab/model/clients.py
@@ -29,8 +29,13 @@
         rules: Rules,
         record: RunRecord,
     ) -> None:
-        self._clock, self._traffic, self._terms = clock, traffic, terms
-        self._workload, self._front, self._rules, self._record = workload, front, rules, record
+        self._clock = clock
+        self._traffic = traffic
+        self._terms = terms
+        self._workload = workload
+        self._front = front
+        self._rules = rules
+        self._record = record
 
     def start(self) -> None:
         """Schedule the first try of every request."""
--- a/lab/model/endpoint.py
+++ b/lab/model/endpoint.py
@@ -28,15 +28,23 @@
         zone: int = 0,
         rack: int = 0,
     ) -> None:
-        self.index, self.kind, self.zone, self.rack = index, kind, zone, rack
-        self.up, self.silent, self.draining, self.crashed = True, False, False, False
+        self.index = index
+        self.kind = kind
+        self.zone = zone
+        self.rack = rack
+        self.up = True
+        self.silent = False
+        self.draining = False
+        self.crashed = False
         self.started_us = 0  # 0: long ago
         self.epoch = 0  # processes that have ended
         self.slowdown = 1.0
         self.connections = 0
         self.worked_us = 0.0
         self.on_crash: Callable[[Overload], None] | None = None
-        self._clock, self._terms, self._speed = clock, terms, speed
+        self._clock = clock
+        self._terms = terms
+        self._speed = speed
         self._cores = terms.machines[kind].cores
         self._choke = ChokeState(clock, terms.choke, self._cores, self._update_choke)
         self._overload = OverloadWindow(terms.cold, mean_work_us, self._cores, speed)
@@ -88,7 +96,9 @@
         Args:
             announced: Its connections are reset; otherwise the machine is gone in silence.
         """
-        self.up, self.silent, self.draining = False, not announced, False
+        self.up = False
+        self.silent = not announced
+        self.draining = False
         self.epoch += 1
         self.connections = 0
         queued = (job for job in self.queue if job.state is JobState.QUEUED)
@@ -105,7 +115,8 @@
     def start(self) -> None:
         """Begin a new process, cold; after a crash there is none."""
         if not self.crashed:
-            self.up, self.silent = True, False
+            self.up = True
+            self.silent = False
             self.started_us = self._clock.now_us
             self._overload.clear()
 
@@ -148,7 +159,8 @@
         return min(job.total_us, (self._clock.now_us - job.began_us) * self.rate)
 
     def _run(self, job: Job) -> None:
-        job.state, job.began_us = JobState.RUNNING, self._clock.now_us
+        job.state = JobState.RUNNING
+        job.began_us = self._clock.now_us
         self.running[job] = None
         takes_us = round(job.total_us / self.rate)
         self._clock.call_at(self._clock.now_us + takes_us, self._end_work, job)
--- a/lab/model/faults.py
+++ b/lab/model/faults.py
@@ -43,9 +43,14 @@
         endpoint_lifecycle: EndpointLifecycle,
         gateway_lifecycle: GatewayLifecycle,
     ) -> None:
-        self._clock, self._scenario, self._network, self._registry = clock, scenario, network, registry
-        self._endpoints, self._gateways = fleet.endpoints, gateways
-        self._endpoint_lifecycle, self._gateway_lifecycle = endpoint_lifecycle, gateway_lifecycle
+        self._clock = clock
+        self._scenario = scenario
+        self._network = network
+        self._registry = registry
+        self._endpoints = fleet.endpoints
+        self._gateways = gateways
+        self._endpoint_lifecycle = endpoint_lifecycle
+        self._gateway_lifecycle = gateway_lifecycle
 
     def add(self, fault: AnyFault, rng: np.random.Generator) -> None:
         """Schedule a fault; `rng` chooses whom it concerns."""
--- a/lab/model/lifecycle.py
+++ b/lab/model/lifecycle.py
@@ -30,8 +30,11 @@
         rules: Rules,
         record: RunRecord,
     ) -> None:
-        self._fleet, self._gateways, self._registry = fleet, gateways, registry
-        self._rules, self._record = rules, record
+        self._fleet = fleet
+        self._gateways = gateways
+        self._registry = registry
+        self._rules = rules
+        self._record = record
         for endpoint in fleet.endpoints:
             endpoint.on_crash = partial(self._crashed, endpoint)
 
@@ -73,7 +76,9 @@
     """Gateways that are killed and come back."""
 
     def __init__(self, front: FrontLayer, attempts: Attempts, clients: Clients) -> None:
-        self._front, self._attempts, self._clients = front, attempts, clients
+        self._front = front
+        self._attempts = attempts
+        self._clients = clients
 
     def kill(self, gateway: ModelGateway) -> None:
         """The process ends, and with it all that it held."""
--- a/lab/model/overload.py
+++ b/lab/model/overload.py
@@ -22,7 +22,8 @@
     """All work that has reached a cold endpoint within the time that it stands, also what it rejects."""
 
     def __init__(self, terms: ColdStart, mean_work_us: float, cores: int, speed: float) -> None:
-        self._cores, self._speed = cores, speed
+        self._cores = cores
+        self._speed = speed
         self._window_us = to_us(terms.overload_window_s)
         self._multiple = terms.multiple
         self._mean_work_us = mean_work_us
--- a/lab/model/policies.py
+++ b/lab/model/policies.py
@@ -54,7 +54,8 @@
     """Random choice; the others differ in `choose` alone."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        self.settings, self.random = settings, random.Random(seed)
+        self.settings = settings
+        self.random = random.Random(seed)
         self.listed: list[int] = []
         self.in_flight: dict[int, int] = {}  # attempts, by endpoint
         self.open: dict[str, OpenRequest] = {}
--- a/lab/model/registry.py
+++ b/lab/model/registry.py
@@ -48,7 +48,10 @@
         seed: int,
     ) -> None:
         self.lines = self.calls = 0
-        self._clock, self._terms, self._network, self._gateways = clock, terms, network, gateways
+        self._clock = clock
+        self._terms = terms
+        self._network = network
+        self._gateways = gateways
         self._delays = [stream(seed, f"discovery {n}") for n in range(len(entries))]
         self._known_us = [0] * len(entries)  # changes of one endpoint come in order
         self._entries = {entry.id: entry for entry in entries}
--- a/lab/model/score.py
+++ b/lab/model/score.py
@@ -1,4 +1,4 @@
-"""The score of a run: weight served in time over weight asked, its parts, latency and cost by kind."""
+"""The score of a run: weight served in time over weight offered, its parts, latency and cost by kind."""
 
 from __future__ import annotations
 
@@ -28,31 +28,31 @@
 ENDS = ("in_time", "late", "refused", "failed", "unreachable", "lost")
 
 
-def ratio(served: float, asked: float) -> float:
+def ratio(served: float, offered: float) -> float:
     """A share of nothing is all of it."""
-    return served / asked if asked else 1.0
+    return served / offered if offered else 1.0
 
 
 @dataclass
 class Tally:
-    """Weight asked and served of a run, as a whole and by its parts."""
+    """Weight offered and served of a run, as a whole and by its parts."""
 
-    asked: Floats  # by second
+    offered: Floats  # by second
     served: Floats
-    by_class: Floats  # one row a class: served and asked
-    by_tenant: Floats  # one row a tenant: served and asked, without what is over quota
+    by_class: Floats  # one row a class: served and offered
+    by_tenant: Floats  # one row a tenant: served and offered, without what is over quota
     ends: Counter[str]  # by the words of results
     latency: Hist
 
     def parts(self) -> dict[str, float]:
         """The parts of the score, each the share of the weight that was served."""
-        windows = range(max(1, len(self.asked) - WINDOW_S + 1))
+        windows = range(max(1, len(self.offered) - WINDOW_S + 1))
         return {
-            "whole": ratio(float(self.served.sum()), float(self.asked.sum())),
+            "whole": ratio(float(self.served.sum()), float(self.offered.sum())),
             "worst_window": min(
                 ratio(
                     float(self.served[s : s + WINDOW_S].sum()),
-                    float(self.asked[s : s + WINDOW_S].sum()),
+                    float(self.offered[s : s + WINDOW_S].sum()),
                 )
                 for s in windows
             ),
@@ -84,7 +84,7 @@
             how = "in_time" if in_time else "late"
             found.latency.add(latency_us)
         found.ends[how] += 1
-        found.asked[second] += weight
+        found.offered[second] += weight
         found.served[second] += gain
         found.by_class[class_index] += (gain, weight)
         if not workload.over_quota[row]:
@@ -123,8 +123,8 @@
         "costs": costs(world),
         "broken": {"count": world.rules.count, "named": world.rules.named},
         "worth_by_s": [
-            [round(asked), round(served)]
-            for asked, served in zip(found.asked.tolist(), found.served.tolist(), strict=True)
+            [round(offered), round(served)]
+            for offered, served in zip(found.offered.tolist(), found.served.tolist(), strict=True)
         ],
         "zones": list(world.scenario.zones),
         "server_load": world.samples.endpoints,
--- a/lab/page/plot_sections.py
+++ b/lab/page/plot_sections.py
@@ -40,8 +40,8 @@
         upper, lower = figure.subplots(2, 1, sharex=True, height_ratios=(2, 1))
         for policy, results in by_policy.items():
             pairs = np.array([r["worth_by_s"] for r in results], dtype=np.float64)
-            asked, served = pairs[:, :, 0], pairs[:, :, 1]
-            share = np.divide(served, asked, out=np.full_like(served, np.nan), where=asked > 0)
+            offered, served = pairs[:, :, 0], pairs[:, :, 1]
+            share = np.divide(served, offered, out=np.full_like(served, np.nan), where=offered > 0)
             plots.band(upper, policy, share)
         most = max(by_policy.values(), key=len)
         plots.band(lower, None, np.array([r["worth_by_s"] for r in most])[:, :, 0] / 1e6)
--- a/lab/page/table_sections.py
+++ b/lab/page/table_sections.py
@@ -48,7 +48,7 @@
 
 def _summary_row(view: View, policy: str) -> list[str]:
     results = view.by_policy.get(policy, [])
-    asked = sum(r["asked"] for r in results)
+    request_count = sum(r["asked"] for r in results)
     broken = sum(r["broken"]["count"] for r in results)
     crashed = len(of_policy(view.results, policy)) - len(results)
     return [
@@ -57,7 +57,7 @@
         *(format_figure(mean(results, name)) for name in summary.COMPARED[:8]),
         *(format_figure(mean(results, name), 0) for name in ("p50_ms", "p99_ms")),
         *(
-            format_figure(sum(r["costs"][kind] for r in results) / asked if asked else None)
+            format_figure(sum(r["costs"][kind] for r in results) / request_count if request_count else None)
             for kind in ("attempts", "handshakes")
         ),
         f"{broken}" + (f", {html.count(crashed, 'day')} crashed" if crashed else ""),
--- a/lab/page/view.py
+++ b/lab/page/view.py
@@ -15,7 +15,8 @@
     """Results in order of policy and seed."""
 
     def __init__(self, header: Result, results: list[Result], notes: list[str]) -> None:
-        self.header, self.notes = header, notes
+        self.header = header
+        self.notes = notes
         known = list(POLICIES)
         names = {str(r["policy"]) for r in results}
         self.policies = sorted(names, key=lambda n: (known.index(n) if n in known else len(known), n))
--- a/lab/reload.py
+++ b/lab/reload.py
@@ -89,7 +89,8 @@
     """The parts of a run; those that it has in common with `lab scale` are the rig's."""
 
     def __init__(self, plan: Plan, children: Children, out: Path, report_progress: ReportProgress) -> None:
-        self.plan, self.report_progress = plan, report_progress
+        self.plan = plan
+        self.report_progress = report_progress
         self.rig = Rig(make_scale_plan(plan), children, out, report_progress)
         self.driver = ChangeDriver(
             changes(plan.seed, plan.tenants, plan.changes_with_requests + CHANGES_ALONE + plan.changes),
@@ -108,7 +109,9 @@
 
     async def with_clients(self, every_s: float | None) -> dict[str, Any]:
         """Requests for a while, through the gateways and straight; with changes, or without."""
-        plan, rig, hists = self.plan, self.rig, dict[str, Hist]()
+        plan = self.plan
+        rig = self.rig
+        hists: dict[str, Hist] = {}
         finish = await rig.play_clients(
             rig.reals, plan.rate * plan.real, plan.lasts_s, plan.routes, plan.tenants, warm=WARM_S
         )
@@ -127,7 +130,9 @@
 
     async def alone(self) -> dict[str, Any]:
         """Processor time of a change with no request under way, and no look until it is over."""
-        reals, spent, idle = self.rig.reals, list[float](), list[float]()
+        reals = self.rig.reals
+        spent: list[float] = []
+        idle: list[float] = []
         for _ in range(CHANGES_ALONE):
             wait_s = max(MIN_WAIT_S, WAIT_FACTOR * self.driver.slowest_s)
             change = await self.driver.write()
@@ -137,7 +142,9 @@
                     for gateway in reals:
                         self.driver.signal(gateway)
                 await asyncio.sleep(wait_s)
-                into += [g.child.cpu_s() - b for g, b in zip(reals, before, strict=True)]
+                into += [
+                    gateway.child.cpu_s() - before_s for gateway, before_s in zip(reals, before, strict=True)
+                ]
             for gateway in reals:
                 reader, writer = await asyncio.open_connection(*gateway.address)
                 if (await self.driver.ask(reader, writer, change))[0] != (200 if change.added else 400):
@@ -159,10 +166,14 @@
 
     async def many(self) -> dict[str, Any]:
         """Changes one after the other without a wait; the memory that each gateway holds in between."""
-        plan, rig, hists = self.plan, self.rig, dict[str, Hist]()
+        plan = self.plan
+        rig = self.rig
+        hists: dict[str, Hist] = {}
         every = max(1, plan.changes // SAMPLES)
-        held: dict[str, list[int]] = {g.child.name: [g.child.resident()] for g in rig.reals}
-        counts, began, before = [0], time.monotonic(), sum(g.child.cpu_s() for g in rig.reals)
+        held: dict[str, list[int]] = {gateway.child.name: [gateway.child.resident()] for gateway in rig.reals}
+        counts = [0]
+        began = time.monotonic()
+        before = sum(gateway.child.cpu_s() for gateway in rig.reals)
         for n in range(1, plan.changes + 1):
             await self.driver.make_change(hists)
             if n % every == 0:
@@ -170,7 +181,7 @@
                 for gateway in rig.reals:
                     held[gateway.child.name].append(gateway.child.resident())
                 self.report_progress(f"{n} changes")
-        cpu_s = sum(g.child.cpu_s() for g in rig.reals) - before
+        cpu_s = sum(gateway.child.cpu_s() for gateway in rig.reals) - before
         warm = next((k for k, count in enumerate(counts) if count >= plan.changes / 10), 0)
         return {
             "changes": plan.changes,
--- a/lab/rig.py
+++ b/lab/rig.py
@@ -57,7 +57,10 @@
     """Starts and asks the processes of a run."""
 
     def __init__(self, plan: Plan, children: Children, out: Path, report_progress: ReportProgress) -> None:
-        self.plan, self.children, self.out, self.report_progress = plan, children, out, report_progress
+        self.plan = plan
+        self.children = children
+        self.out = out
+        self.report_progress = report_progress
         self.problems = Problems()
         self.reals: list[RealGateway] = []
         self.simulated: list[Child] = []  # processes of many gateways each
@@ -79,7 +82,8 @@
     async def set_fleet(self, endpoints: int) -> None:
         """Let discovery list another fleet."""
         state = await self.registry.ask(SetFleet(endpoints=endpoints, port=self.ports["gateway"]))
-        self.list_index, self.list_bytes = state.index, state.bytes
+        self.list_index = state.index
+        self.list_bytes = state.bytes
 
     def write_config(
         self, name: str, servers: int, routes: int, tenants: int, index: int = 0, gateways: int = 1
--- a/lab/simulated_gateways.py
+++ b/lab/simulated_gateways.py
@@ -160,7 +160,9 @@
         self.gateways: list[SimulatedGateway] = []
         self.config: Config | None = None
         self.received: dict[KnownChange, list[int]] = {}
-        self.ready, self.list_time, self.late = Hist(), Hist(), Hist()
+        self.ready = Hist()
+        self.list_time = Hist()
+        self.late = Hist()
         self.counts = dict.fromkeys(("asked", "sent", "served", "refused", "failed"), 0)
         self.spent_ns = 0
         self.draws: list[tuple[float, Outcome]] = []
@@ -178,7 +180,8 @@
         times = (ANSWER_S * (0.5 + rng.gamma(4.0, 0.125, DRAWS))).tolist()
         failing = (rng.random(DRAWS) < ERROR_SHARE).tolist()
         self.draws = [
-            (s, Outcome.ERROR if fails else Outcome.OK) for s, fails in zip(times, failing, strict=True)
+            (answer_s, Outcome.ERROR if fails else Outcome.OK)
+            for answer_s, fails in zip(times, failing, strict=True)
         ]
 
     async def add(self, count: int, first: int, seed: int) -> None:
@@ -193,9 +196,10 @@
 
     async def send_requests(self, rate: float, routes: int, tenants: int, seed: int) -> None:
         """Send requests at `rate` a second to each gateway, until cancelled."""
-        start, part = time.monotonic(), 0
+        start = time.monotonic()
+        part = 0
         while True:
-            asked = schedule.requests(
+            planned = schedule.requests(
                 seed,
                 f"hollow {part}",
                 rate * len(self.gateways),
@@ -204,8 +208,8 @@
                 tenants,
                 len(self.gateways),
             )
-            kinds = zip(asked.times_s, asked.routes, asked.tenants, asked.targets, strict=True)
-            for at_s, route, tenant, target in kinds:
+            arrivals = zip(planned.times_s, planned.routes, planned.tenants, planned.targets, strict=True)
+            for at_s, route, tenant, target in arrivals:
                 wait_s = start + part * PLANNED_S + at_s - time.monotonic()
                 if wait_s > 0:
                     await asyncio.sleep(wait_s)
@@ -227,7 +231,8 @@
 
     def measure_in_force(self, changes: list[WrittenChange]) -> InForce:
         """From each change at discovery to its being in force, over all gateways here."""
-        hist, unseen = Hist(), 0
+        hist = Hist()
+        unseen = 0
         for change in changes:
             key = (change.endpoint_id, change.status, change.started_us)
             received = self.received.get(key, ())
--- a/lab/statements.py
+++ b/lab/statements.py
@@ -41,7 +41,8 @@
     """One connection to a statement server."""
 
     def __init__(self, servers: StatementServers, target: str) -> None:
-        self.servers, self.target = servers, target
+        self.servers = servers
+        self.target = target
         self.parser = httptools.HttpRequestParser(self)
         self.transport: asyncio.Transport | None = None
         self.server = 0
@@ -78,7 +79,8 @@
 
     def on_message_begin(self) -> None:
         """See httptools."""
-        self.url, self.headers = b"", {}
+        self.url = b""
+        self.headers = {}
 
     def on_url(self, url: bytes) -> None:
         """See httptools."""
