--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -23,6 +23,20 @@
 
 DEFAULT_SIZES = ("10x3x2", "200x3x2", "4200x3x2", "10x3400x2", "10x3x2300")
 
+memory_option = click.option(
+    "--memory-mb", type=click.IntRange(100), help="Bound on all together [default: half of the machine]"
+)
+latency_bound_option = click.option(
+    "--late-ms", type=click.FloatRange(1), default=25.0, show_default=True, help="Bound at p99."
+)
+folder_option = click.option(
+    "--out", type=click.Path(path_type=Path, file_okay=False), required=True, help="Directory for the result."
+)
+seed_option = click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
+gateways_option = click.option(
+    "--real", type=click.IntRange(1, 64), default=2, show_default=True, help="Real gateways."
+)
+
 
 class OneLine(click.Group):
     """Says in one line what is wrong with the arguments, and ends with 2."""
@@ -57,7 +71,7 @@
 @click.option("--servers", type=click.IntRange(1), help="One more size, with --routes and --tenants.")
 @click.option("--routes", type=click.IntRange(1), default=3, show_default=True)
 @click.option("--tenants", type=click.IntRange(1), default=2, show_default=True)
-@click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
+@seed_option
 @click.option(
     "--repeat", type=click.IntRange(1), default=1, show_default=True, help="Runs of each size: medians."
 )
@@ -99,8 +113,8 @@
 @click.option(
     "--hollow", type=click.IntRange(4, 1000), default=16, show_default=True, help="Hollow gateways."
 )
-@click.option("--real", type=click.IntRange(1, 64), default=2, show_default=True, help="Real gateways.")
-@click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
+@gateways_option
+@seed_option
 @click.option(
     "--rate",
     type=click.FloatRange(0, 5000, min_open=True),
@@ -133,13 +147,9 @@
     default=("ordinary", "rack", "outage"),
     show_default=True,
 )
-@click.option(
-    "--memory-mb", type=click.IntRange(100), help="Bound on all together [default: half of the machine]"
-)
-@click.option("--late-ms", type=click.FloatRange(1), default=25.0, show_default=True, help="Bound at p99.")
-@click.option(
-    "--out", type=click.Path(path_type=Path, file_okay=False), required=True, help="Directory for the result."
-)
+@memory_option
+@latency_bound_option
+@folder_option
 def scale_command(
     out: Path,
     memory_mb: int | None,
@@ -164,7 +174,7 @@
 @click.option("--servers", type=click.IntRange(4, 4200), default=200, show_default=True)
 @click.option("--routes", type=click.IntRange(1, 10_000), default=100, show_default=True)
 @click.option("--tenants", type=click.IntRange(1, 100_000), default=500, show_default=True)
-@click.option("--real", type=click.IntRange(1, 64), default=2, show_default=True, help="Real gateways.")
+@gateways_option
 @click.option("--hollow", type=click.IntRange(1, 1000), default=8, show_default=True, help="Hollow gateways.")
 @click.option(
     "--rate",
@@ -194,14 +204,10 @@
     show_default=True,
     help="Afterwards, one after the other.",
 )
-@click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
-@click.option(
-    "--memory-mb", type=click.IntRange(100), help="Bound on all together [default: half of the machine]"
-)
-@click.option("--late-ms", type=click.FloatRange(1), default=25.0, show_default=True, help="Bound at p99.")
-@click.option(
-    "--out", type=click.Path(path_type=Path, file_okay=False), required=True, help="Directory for the result."
-)
+@seed_option
+@memory_option
+@latency_bound_option
+@folder_option
 def reload_command(out: Path, memory_mb: int | None, hollow: int, **sizes: Any) -> int:
     """Changes of one tenant under way: result.json in the directory, and one table."""
     plan = reload.Plan(memory_mb=checked_bound(memory_mb), simulated=hollow, **sizes)
