--- a/load_balancer/decisions/admission.py
+++ b/load_balancer/decisions/admission.py
@@ -16,12 +16,10 @@
 from load_balancer.decisions.request import Request
 
 MAX_SHED_SHARE = 0.95  # the admitted rest shows when to shed less
-SHED_SHARE_STEP = (
-    0.1  # of the demand: change of the shed share for each list, per request in excess at a core
-)
-HELD_REQUESTS_PER_CORE = (
-    1.0  # requests in flight at a core, by load-dependent weights, beyond which more is shed
-)
+# Of the demand: change of the shed share for each list, per request in excess at a core.
+SHED_SHARE_STEP = 0.1
+# Requests in flight at a core, by load-dependent weights, beyond which more is shed.
+HELD_REQUESTS_PER_CORE = 1.0
 SHORT_TIMEOUT_TRIAL_SHARE = 0.02  # of the requests with too short a timeout, admitted as trials
 
 
--- a/load_balancer/decisions/circuit_breaker.py
+++ b/load_balancer/decisions/circuit_breaker.py
@@ -152,9 +152,8 @@
             return None  # while half-open, only the outcomes of trials count
         self.trials_in_flight -= 1
         self.trial_results += (failed,)
-        if (
-            sum(self.trial_results) / HALF_OPEN_TRIALS >= FAILURE_THRESHOLD
-        ):  # whatever the outcomes of the rest
+        failed_share = sum(self.trial_results) / HALF_OPEN_TRIALS
+        if failed_share >= FAILURE_THRESHOLD:  # whatever the outcomes of the rest
             self.cooldown_us = min(2 * self.cooldown_us, MAX_COOLDOWN_US)
             return self._open(now_us)
         return self._close() if len(self.trial_results) == HALF_OPEN_TRIALS else None
--- a/load_balancer/decisions/latency.py
+++ b/load_balancer/decisions/latency.py
@@ -14,9 +14,8 @@
 HINTED_WORK_SHARE = 0.3  # part of the usual latency that goes with the hinted work
 MIN_ANSWERS = 5  # answers of a class before its shortest latency is relied on
 UNLOADED_DECREASE_SHARE = 0.05  # share of the way that the unloaded latency moves to a shorter one
-UNLOADED_INCREASE_SHARE = (
-    0.0005  # relative rise with each answer: slow, so that overload does not pass for normal
-)
+# Relative rise with each answer: slow, so that overload does not pass for normal.
+UNLOADED_INCREASE_SHARE = 0.0005
 
 
 class ClassState:
