--- a/tests/config/test_addresses.py
+++ b/tests/config/test_addresses.py
@@ -16,7 +16,7 @@
 @pytest.mark.parametrize(
     "text", [None, 7, "", "host", ":80", "host:", "host:65536", "host:-1", "host:\uff180"]
 )
-def test_anything_else_is_an_error_that_shows_it(text: object) -> None:
+def test_an_invalid_address_is_an_error_that_shows_it(text: object) -> None:
     with pytest.raises(ConfigError) as error:
         parse_address(text)
     assert str(error.value) == f"expected an address of the form host:port, got {text!r}"
--- a/tests/decisions/driver.py
+++ b/tests/decisions/driver.py
@@ -29,14 +29,14 @@
 from load_balancer.decisions.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 from load_balancer.decisions.settings_version import SettingsVersion, next_version
 
-SAFE = RequestClass(
+IDEMPOTENT = RequestClass(
     latency_objective_us=200_000,
     client_timeout_us=400_000,
     priority_weight=3.0,
     late_weight_share=0.2,
     idempotency=Idempotency.IDEMPOTENT,
 )
-KEYED = RequestClass(
+WITH_IDEMPOTENCY_KEY = RequestClass(
     latency_objective_us=200_000,
     client_timeout_us=800_000,
     priority_weight=5.0,
@@ -45,14 +45,14 @@
     deduplication_scope=DeduplicationScope.GROUP,
     deduplication_window_us=150_000,
 )
-UNSAFE = RequestClass(
+NON_IDEMPOTENT = RequestClass(
     latency_objective_us=300_000,
     client_timeout_us=1_000_000,
     priority_weight=8.0,
     late_weight_share=0.2,
     idempotency=Idempotency.NON_IDEMPOTENT,
 )
-SETTINGS = Settings(classes=(SAFE, KEYED, UNSAFE), may_hedge=True)
+SETTINGS = Settings(classes=(IDEMPOTENT, WITH_IDEMPOTENCY_KEY, NON_IDEMPOTENT), may_hedge=True)
 COLD = replace(
     SETTINGS,
     slow_start_capacity=0.2,
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -20,7 +20,7 @@
     Outcome,
 )
 from load_balancer.decisions.settings import Settings, Tenant
-from tests.decisions.driver import SAFE, SETTINGS, Driver, finals, sends
+from tests.decisions.driver import IDEMPOTENT, SETTINGS, Driver, finals, sends
 
 
 @pytest.mark.parametrize(("request_class", "gap_us"), [(1, 1_000), (2, 100_000)])
@@ -49,9 +49,9 @@
         driver.end(name, sends(actions)[0].endpoint_id, latency_us=290_000)
 
 
-def test_long_waits_shed_the_least_priority_first_and_prompt_answers_end_it() -> None:
-    cheap = replace(SAFE, priority_weight=1.0)
-    dear = replace(SAFE, priority_weight=10.0)
+def test_slow_answers_shed_the_lowest_priority_first_and_prompt_ones_end_it() -> None:
+    cheap = replace(IDEMPOTENT, priority_weight=1.0)
+    dear = replace(IDEMPOTENT, priority_weight=10.0)
     driver = Driver(Settings(classes=(cheap, dear)))
     for number in range(100):
         driver.balancer.demand.within_quota[number % 2] += 2
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize("live", [True, False])
-def test_load_dependent_weights_that_tell_of_a_crowd_shed_before_any_answer_does(live: bool) -> None:
+def test_load_dependent_weights_shed_load_before_any_answer(live: bool) -> None:
     """A gateway with few answers noticed a crowd when the endpoints had choked already."""
     driver = Driver(replace(SETTINGS, load_dependent_weights=live), endpoints=0)
     driver.list_endpoints(*(Endpoint(n, weight=4.0) for n in range(3)))
@@ -91,7 +91,7 @@
     assert driver.admission.shed_share == 0.0
 
 
-def test_what_is_given_less_time_than_any_answer_takes_is_refused_on_arrival() -> None:
+def test_a_timeout_shorter_than_any_answer_is_rejected_on_arrival() -> None:
     """Clients that gave 33 to 63 ms, asked again and again, and endpoints worked for nobody."""
     driver = Driver(endpoints=1)
     name, actions = driver.arrive(timeout_us=40_000)
@@ -114,7 +114,7 @@
     assert sent[90_000] == 200
 
 
-def test_a_request_with_no_time_left_is_refused_unsent(driver: Driver) -> None:
+def test_a_request_with_no_time_left_is_rejected_unsent(driver: Driver) -> None:
     for request_class in range(3):
         name, actions = driver.arrive(request_class=request_class, timeout_us=0)
         assert finals(actions) == [Reject(name)]
@@ -122,7 +122,7 @@
     assert not driver.lifecycle.requests
 
 
-def test_a_gateway_that_sheds_nearly_all_comes_back_once_the_cooldowns_are_over(
+def test_a_gateway_that_sheds_nearly_all_recovers_after_the_cooldowns(
     all_half_open: Driver,
 ) -> None:
     """Unsafe requests were no trials and all safe ones were shed: with no answer that never changed."""
@@ -136,7 +136,7 @@
     assert all(s.breakers[0].state is BreakerState.CLOSED for s in all_half_open.endpoints.values())
 
 
-def test_what_a_tenant_asks_beyond_its_share_is_shed_first() -> None:
+def test_requests_over_quota_are_shed_first() -> None:
     """One fund's burst, worth a tenth, was shed alike with what the others asked within their shares."""
     tenants = (Tenant(quota_per_s=100.0), Tenant(quota_per_s=100.0))
     driver = Driver(replace(SETTINGS, tenants=tenants, over_quota_weight_share=0.1), endpoints=1)
--- a/tests/decisions/test_balancer.py
+++ b/tests/decisions/test_balancer.py
@@ -12,7 +12,7 @@
 from tests.decisions.driver import Driver, finals, sends
 
 
-def test_an_id_in_use_is_not_taken_twice(driver: Driver) -> None:
+def test_a_duplicate_request_id_is_ignored(driver: Driver) -> None:
     driver.arrive()
     driver.count = 0
     _, actions = driver.arrive()
@@ -20,12 +20,12 @@
     assert not finals(actions)
 
 
-def test_an_unknown_class_is_failed(driver: Driver) -> None:
+def test_a_request_of_an_unknown_class_fails(driver: Driver) -> None:
     name, actions = driver.arrive(request_class=7)
     assert finals(actions) == [Fail(name)]
 
 
-def test_nothing_is_kept_of_what_is_finished() -> None:
+def test_a_finished_request_leaves_no_state() -> None:
     driver = Driver(endpoints=4)
     for n in range(3_000):
         name, actions = driver.arrive(request_class=n % 3)
--- a/tests/decisions/test_circuit_breaker.py
+++ b/tests/decisions/test_circuit_breaker.py
@@ -28,7 +28,7 @@
     return breaker
 
 
-def test_no_verdict_below_the_minimum() -> None:
+def test_a_breaker_stays_closed_below_the_minimum_of_outcomes() -> None:
     breaker = CircuitBreaker()
     for _ in range(MINIMUM_OUTCOMES - 1):
         assert breaker.record(0, True, 0, 0.0) is None
@@ -45,14 +45,14 @@
     assert len(breaker.ring) == RING_SIZE
 
 
-def test_an_open_endpoint_gets_nothing_until_the_cooldown_ends() -> None:
+def test_an_open_breaker_lets_nothing_through_until_the_cooldown_ends() -> None:
     breaker = tripped()
     assert not breaker.lets_through(INITIAL_COOLDOWN_US - 1)
     assert breaker.lets_through(INITIAL_COOLDOWN_US)
     assert breaker.state is BreakerState.HALF_OPEN
 
 
-def test_half_open_gives_out_no_more_than_its_trials() -> None:
+def test_a_half_open_breaker_lets_only_its_trials_through() -> None:
     breaker = half_open()
     for _ in range(HALF_OPEN_TRIALS):
         assert breaker.lets_through(INITIAL_COOLDOWN_US)
@@ -94,14 +94,14 @@
     assert breaker.open_until_us == INITIAL_COOLDOWN_US // 2 + INITIAL_COOLDOWN_US
 
 
-def test_failures_that_all_endpoints_share_blame_none() -> None:
+def test_failures_that_all_endpoints_share_open_no_breaker() -> None:
     breaker = CircuitBreaker()
     for n in range(RING_SIZE):
         breaker.record(0, n % 2 == 0, 0, 0.5)
     assert breaker.state is BreakerState.CLOSED
 
 
-def test_an_endpoint_that_fails_is_opened_and_gets_nothing() -> None:
+def test_an_endpoint_that_fails_is_ejected() -> None:
     driver = Driver(endpoints=3)
     for _ in range(200):
         name, actions = driver.arrive()
--- a/tests/decisions/test_client_timeouts.py
+++ b/tests/decisions/test_client_timeouts.py
@@ -4,12 +4,12 @@
 
 from dataclasses import replace
 
-from tests.decisions.driver import SAFE, SETTINGS, Driver, sends
+from tests.decisions.driver import IDEMPOTENT, SETTINGS, Driver, sends
 
 
-def test_a_last_try_that_is_given_more_does_not_make_first_tries_late() -> None:
+def test_a_longer_timeout_of_a_last_try_does_not_make_first_tries_late() -> None:
     """Clients leave their last try all the time left: first tries, given less, were refused as late."""
-    late = replace(SAFE, late_weight_share=0.0)
+    late = replace(IDEMPOTENT, late_weight_share=0.0)
     for marks in (True, False):
         driver = Driver(replace(SETTINGS, classes=(late,), clients_mark_retries=marks))
         for n in range(30):
--- a/tests/decisions/test_concurrency_limit.py
+++ b/tests/decisions/test_concurrency_limit.py
@@ -15,7 +15,7 @@
     Outcome,
 )
 from load_balancer.decisions.settings import Settings
-from tests.decisions.driver import SAFE, SETTINGS, Driver, sends
+from tests.decisions.driver import IDEMPOTENT, SETTINGS, Driver, sends
 
 
 def test_a_few_prompt_answers_raise_a_low_limit() -> None:
@@ -28,7 +28,7 @@
     assert driver.limit.limit >= 2.0
 
 
-def test_the_limit_sinks_where_a_third_of_the_answers_are_long() -> None:
+def test_the_limit_falls_where_a_third_of_the_answers_are_slow() -> None:
     """Where it held at a third the slower endpoints had choked before the rest of the answers were long."""
     driver = Driver(endpoints=8)
     driver.limit.has_seen_slow_answer, driver.limit.limit = True, 12.0
@@ -40,7 +40,7 @@
     assert driver.limit.limit < 11.0
 
 
-def test_long_answers_under_way_together_lower_the_limit_by_a_part() -> None:
+def test_slow_answers_in_flight_together_lower_the_limit_by_a_fraction() -> None:
     """What was sent before shedding began still took long, and drove it from a tenth to nearly all."""
     driver = Driver(endpoints=8)
     driver.limit.limit = 30.0
@@ -62,7 +62,7 @@
 
 @pytest.mark.parametrize(("queue", "sheds"), [(3.0, True), (0.0, False)])
 @pytest.mark.parametrize("outcome", [Outcome.OK, Outcome.REJECTED])
-def test_answers_by_endpoints_where_work_waits_lower_the_limit(
+def test_answers_of_endpoints_with_queued_work_lower_the_limit(
     outcome: Outcome, queue: float, sheds: bool
 ) -> None:
     """Full endpoints answer at once: what was out stayed low, and each request was sent on to four of them.
@@ -75,7 +75,7 @@
     assert (driver.limit.limit < INITIAL_LIMIT) == sheds
 
 
-def test_a_reported_queue_leaves_no_more_than_what_is_out() -> None:
+def test_a_reported_queue_caps_the_limit_at_what_is_in_flight() -> None:
     """Proxies with twice the room they used went on sending more while every endpoint's queue grew."""
     driver = Driver(endpoints=8)
     driver.limit.limit = 30.0
@@ -85,7 +85,7 @@
     assert driver.limit.limit <= 10.0
 
 
-def test_a_gateway_in_a_jam_has_one_request_out_and_not_two() -> None:
+def test_an_overloaded_gateway_has_one_request_in_flight_and_not_two() -> None:
     """Hundreds of gateways that had two out each kept every endpoint's queue full."""
     seconds = 0
     for seed in range(20):
@@ -109,7 +109,7 @@
     assert INITIAL_LIMIT < driver.limit.limit <= 1.5 * (5 + 1)
 
 
-def test_a_little_over_the_unloaded_latency_is_no_jam_where_objectives_are_tight() -> None:
+def test_a_little_over_the_unloaded_latency_is_no_overload_where_objectives_are_tight() -> None:
     """A quarter of a small slack lay within the work's own scatter, and a quiet day shed half."""
     driver = Driver(endpoints=1)
     driver.classes[0].unloaded_us = 150_000.0  # of an aim of 200 ms
@@ -120,11 +120,9 @@
 
 
 @pytest.mark.parametrize(("late_worth", "sheds"), [(0.0, True), (0.5, False)])
-def test_a_longer_wait_is_tolerated_where_late_answers_are_worth_something(
-    late_worth: float, sheds: bool
-) -> None:
+def test_a_longer_wait_is_tolerated_where_late_answers_have_weight(late_worth: float, sheds: bool) -> None:
     """At half the worth after the aim a refusal costs more than the wait."""
-    request_class = replace(SAFE, late_weight_share=late_worth)
+    request_class = replace(IDEMPOTENT, late_weight_share=late_worth)
     driver = Driver(replace(SETTINGS, classes=(request_class,)), endpoints=1)
     driver.classes[0].unloaded_us = 20_000.0
     name, _ = driver.arrive()
@@ -133,7 +131,7 @@
 
 
 @pytest.mark.parametrize(("stayed_us", "sheds"), [(10_000, False), (90_000, True)])
-def test_a_client_that_leaves_a_jam_counts_for_shedding(stayed_us: int, sheds: bool) -> None:
+def test_a_client_that_disconnects_under_overload_lowers_the_limit(stayed_us: int, sheds: bool) -> None:
     """Impatient clients hid the jam that they made: what they left taught nothing."""
     driver = Driver(endpoints=1)
     driver.classes[0].unloaded_us = 40_000.0
@@ -143,9 +141,9 @@
     assert (driver.limit.limit < INITIAL_LIMIT) == sheds
 
 
-def test_the_scatter_of_what_alone_comes_through_does_not_keep_shedding_up() -> None:
+def test_the_latency_scatter_of_a_single_class_does_not_prolong_shedding() -> None:
     """Of what was shed at 0.95 only the dearest class came through; four in ten took a little longer."""
-    driver = Driver(Settings(classes=(replace(SAFE, late_weight_share=0.0),)), endpoints=2)
+    driver = Driver(Settings(classes=(replace(IDEMPOTENT, late_weight_share=0.0),)), endpoints=2)
     driver.classes[0].unloaded_us = 40_000.0
     for _ in range(60):  # all of them long: with nothing else out the next one goes all the same
         name, actions = driver.arrive()
--- a/tests/decisions/test_endpoint_list.py
+++ b/tests/decisions/test_endpoint_list.py
@@ -15,7 +15,7 @@
         assert sends(driver.arrive()[1])[0].endpoint_id == 2
 
 
-def test_a_full_list_drops_what_it_lacks_and_a_restart_empties_the_record() -> None:
+def test_a_complete_list_removes_what_it_lacks_and_a_restart_resets_the_state() -> None:
     driver = Driver(endpoints=3)
     driver.endpoints[1].breakers[0].record(0, True, 0, 0.0)
     driver.list_endpoints(Endpoint(1, started_us=driver.now_us))
--- a/tests/decisions/test_latency.py
+++ b/tests/decisions/test_latency.py
@@ -20,7 +20,7 @@
     assert balancer.context.classes[0].unloaded_us > 0.8 * before_us
 
 
-def test_a_tiny_hint_does_not_blow_up_the_smoothed_latency() -> None:
+def test_a_tiny_work_hint_does_not_inflate_the_smoothed_latency() -> None:
     """Latency was divided by the hinted work: one answer to a hint of nearly nothing counted for hundreds."""
     driver = Driver(endpoints=1)
     for n in range(400):
--- a/tests/decisions/test_load_reports.py
+++ b/tests/decisions/test_load_reports.py
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize("crowded", [("queue", 4.0), ("latency_ms", 80.0), ("eps", 20.0)])
-def test_an_endpoint_that_reports_a_crowd_slow_service_or_errors_gets_less(
+def test_an_endpoint_that_reports_a_queue_slow_service_or_errors_gets_less(
     crowded: tuple[str, float], driver: Driver
 ) -> None:
     """Forty gateways had less than one request out at each endpoint and saw nothing of the rest."""
@@ -23,7 +23,7 @@
     assert counts[0] < 0.4 * min(counts[1:])
 
 
-def test_a_usual_few_errors_reported_cost_an_endpoint_little(driver: Driver) -> None:
+def test_a_few_reported_errors_lower_the_weight_little(driver: Driver) -> None:
     counts = [0, 0, 0]
     for _ in range(600):
         name, actions = driver.arrive()
@@ -34,7 +34,7 @@
     assert counts[0] > 0.6 * min(counts[1:])
 
 
-def test_a_reported_queue_counts_less_as_it_grows_old(driver: Driver) -> None:
+def test_a_reported_queue_counts_less_as_it_ages(driver: Driver) -> None:
     """An endpoint that is sent nothing has no way to report that its queue is gone."""
     driver.balancer.load_reports.apply(driver.endpoints[0], (("queue", 50.0),), driver.now_us)
     driver.now_us += 20_000_000
--- a/tests/decisions/test_ordered_keys.py
+++ b/tests/decisions/test_ordered_keys.py
@@ -11,9 +11,11 @@
     Outcome,
     TimerFired,
 )
-from tests.decisions.driver import SAFE, SETTINGS, UNSAFE, Driver, finals, sends, timers
+from tests.decisions.driver import IDEMPOTENT, NON_IDEMPOTENT, SETTINGS, Driver, finals, sends, timers
 
-ORDERED = replace(SETTINGS, classes=(SAFE, replace(UNSAFE, ordered=True)), ordered_key_delay_us=50_000)
+ORDERED = replace(
+    SETTINGS, classes=(IDEMPOTENT, replace(NON_IDEMPOTENT, ordered=True)), ordered_key_delay_us=50_000
+)
 
 
 def test_ordered_requests_of_one_key_take_turns() -> None:
@@ -28,7 +30,7 @@
     assert [s.request_id for s in sends(driver.end(first, endpoint))] == [second]
 
 
-def test_a_client_that_leaves_while_it_waits_for_its_turn_is_not_sent_on() -> None:
+def test_a_request_is_not_forwarded_if_its_client_disconnects_before_its_turn() -> None:
     driver = Driver(ORDERED)
     first, actions = driver.arrive(request_class=1, key=7)
     endpoint = sends(actions)[0].endpoint_id
@@ -64,7 +66,7 @@
     assert not driver.balancer.timers.callbacks
 
 
-def test_what_cannot_have_its_turn_in_time_is_rejected() -> None:
+def test_a_request_whose_turn_would_come_too_late_is_rejected() -> None:
     driver = Driver(ORDERED)
     driver.arrive(request_class=1, key=7)
     least_us = int(driver.classes[1].unloaded_us)
--- a/tests/decisions/test_outliers.py
+++ b/tests/decisions/test_outliers.py
@@ -68,7 +68,7 @@
     assert endpoint.breakers[2].state is BreakerState.CLOSED
 
 
-def test_an_endpoint_that_fails_all_tenants_is_opened_as_soon_as_with_one() -> None:
+def test_an_endpoint_that_fails_all_tenants_is_ejected_as_soon_as_with_one() -> None:
     driver = Driver(replace(SETTINGS, tenants=(Tenant(), Tenant())), endpoints=1)
     for n in range(2 * RING_SIZE):
         name, _ = driver.arrive(tenant=n % 2)
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize(("given_us", "sheds"), [(30_000, False), (50_000, True)])
-def test_a_hurried_time_out_lowers_the_limit_but_blames_no_endpoint(given_us: int, sheds: bool) -> None:
+def test_a_short_timeout_lowers_the_limit_but_opens_no_breaker(given_us: int, sheds: bool) -> None:
     """Clients in a hurry timed out and came again, until the patient ones were late too."""
     driver = Driver(endpoints=1)
     driver.classes[0].unloaded_us, driver.classes[0].smoothed_us = (
@@ -95,7 +95,7 @@
     assert not driver.endpoints[0].breakers[0].failures
 
 
-def test_clients_in_a_hurry_blame_no_endpoint_and_shed_no_load() -> None:
+def test_short_client_timeouts_open_no_breaker_and_shed_no_load() -> None:
     """Time-outs after 30 ms where answers take 50 ms opened breakers and shed what could be served."""
     driver = Driver(endpoints=1)
     for _ in range(100):
--- a/tests/decisions/test_picker.py
+++ b/tests/decisions/test_picker.py
@@ -9,7 +9,7 @@
 from tests.decisions.driver import SETTINGS, Driver, sends, trip
 
 
-def test_a_non_idempotent_request_is_no_trial() -> None:
+def test_a_non_idempotent_request_is_not_used_as_a_trial() -> None:
     driver = Driver(endpoints=2)
     breaker = driver.endpoints[0].breakers[0]
     trip(breaker, driver.now_us)
@@ -29,7 +29,7 @@
     assert 130 < to_home < 190
 
 
-def test_a_keys_requests_go_home_while_it_has_room() -> None:
+def test_requests_of_a_key_go_to_its_home_while_that_has_room() -> None:
     driver = Driver(replace(SETTINGS, key_affinity=True), endpoints=8)
     met: dict[int, int] = {}
     for _ in range(100):
--- a/tests/decisions/test_request_lifecycle.py
+++ b/tests/decisions/test_request_lifecycle.py
@@ -14,10 +14,10 @@
     StreamStarted,
     TimerFired,
 )
-from tests.decisions.driver import SAFE, SETTINGS, Driver, finals, sends, timers, trip
+from tests.decisions.driver import IDEMPOTENT, SETTINGS, Driver, finals, sends, timers, trip
 
 
-def test_refusal_names_the_shortest_cooldown_when_all_are_open() -> None:
+def test_a_rejection_names_the_shortest_cooldown_when_all_breakers_are_open() -> None:
     driver = Driver(endpoints=2)
     for number, endpoint in driver.endpoints.items():
         trip(endpoint.breakers[0], driver.now_us + number * 100_000)
@@ -26,20 +26,20 @@
     assert finals(actions) == [Reject(name, 600_000)]
 
 
-def test_without_endpoints_requests_are_refused() -> None:
+def test_without_endpoints_requests_are_rejected() -> None:
     driver = Driver(endpoints=0)
     name, actions = driver.arrive(request_class=2)
     assert finals(actions) == [Reject(name)]
 
 
-def test_the_client_leaving_ends_the_request(driver: Driver) -> None:
+def test_a_disconnect_ends_the_request(driver: Driver) -> None:
     name, actions = driver.arrive()
     assert driver.handle(ClientDisconnected(name)) == [Cancel(name, 0)]
     assert not finals(driver.end(name, sends(actions)[0].endpoint_id, Outcome.CANCELLED))
     assert not driver.lifecycle.requests
 
 
-def test_a_stream_is_left_alone(driver: Driver) -> None:
+def test_a_started_stream_is_neither_cancelled_nor_hedged(driver: Driver) -> None:
     name, actions = driver.arrive()
     driver.handle(StreamStarted(name, 0))
     for timer in timers(actions):
@@ -49,14 +49,14 @@
     assert not driver.lifecycle.requests
 
 
-def test_what_is_worth_nothing_late_is_timed_out_at_the_objective() -> None:
+def test_an_attempt_without_late_weight_times_out_at_the_objective() -> None:
     """Attempts left until the client gave up filled every queue with work that no one wanted any more."""
-    driver = Driver(replace(SETTINGS, classes=(replace(SAFE, late_weight_share=0.0), SAFE)))
-    assert sends(driver.arrive(request_class=0)[1])[0].timeout_us < SAFE.latency_objective_us
-    assert sends(driver.arrive(request_class=1)[1])[0].timeout_us > SAFE.latency_objective_us
+    driver = Driver(replace(SETTINGS, classes=(replace(IDEMPOTENT, late_weight_share=0.0), IDEMPOTENT)))
+    assert sends(driver.arrive(request_class=0)[1])[0].timeout_us < IDEMPOTENT.latency_objective_us
+    assert sends(driver.arrive(request_class=1)[1])[0].timeout_us > IDEMPOTENT.latency_objective_us
 
 
-def test_after_an_empty_list_requests_are_refused_and_late_outcomes_settle(driver: Driver) -> None:
+def test_after_an_empty_list_requests_are_rejected_and_late_outcomes_are_taken(driver: Driver) -> None:
     first, actions = driver.arrive(request_class=2)
     driver.list_endpoints()
     second, answer = driver.arrive()
@@ -66,7 +66,7 @@
     assert driver.limit.in_flight == 0
 
 
-def test_a_request_that_is_shed_is_told_when_to_come_back() -> None:
+def test_a_shed_request_gets_a_retry_after() -> None:
     """Told nothing, clients came back at once, into the same jam."""
     driver = Driver(endpoints=1)
     driver.admission.load_shed_share = 0.95
@@ -77,7 +77,7 @@
         assert all((0 < r.retry_after_us <= limit_us) == advised for r in refusals)
 
 
-def test_a_refusal_names_the_cooldown_of_the_request_s_own_kind() -> None:
+def test_a_rejection_names_the_cooldown_of_the_requests_own_class_and_tenant() -> None:
     driver = Driver(endpoints=2)
     for number, endpoint in driver.endpoints.items():
         trip(endpoint.breakers[1], driver.now_us + number * 100_000)
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -14,7 +14,7 @@
 )
 from load_balancer.decisions.latency import OVERDUE_LATENCY_FACTOR
 from load_balancer.decisions.settings import DeduplicationScope
-from tests.decisions.driver import KEYED, SETTINGS, Driver, finals, sends, timers
+from tests.decisions.driver import SETTINGS, WITH_IDEMPOTENCY_KEY, Driver, finals, sends, timers
 
 
 def test_a_non_idempotent_request_that_may_have_run_fails_at_once(driver: Driver) -> None:
@@ -24,7 +24,7 @@
     assert not sends(answer)
 
 
-def test_a_non_idempotent_request_that_never_ran_goes_elsewhere(driver: Driver) -> None:
+def test_a_non_idempotent_request_that_never_ran_is_retried_elsewhere(driver: Driver) -> None:
     name, actions = driver.arrive(request_class=2)
     first = sends(actions)[0].endpoint_id
     again = sends(driver.end(name, first, Outcome.CONNECT_FAILED))
@@ -32,32 +32,32 @@
     assert again[0].endpoint_id != first
 
 
-def test_a_keyed_request_stays_in_its_group_and_window() -> None:
+def test_a_retry_with_an_idempotency_key_stays_in_its_group_and_window() -> None:
     driver = Driver(endpoints=6)
     name, actions = driver.arrive(request_class=1)
     first = sends(actions)[0].endpoint_id
     again = sends(driver.end(name, first, Outcome.RESET))
     assert again[0].endpoint_id % 2 == first % 2
     name, actions = driver.arrive(request_class=1)
-    driver.now_us += KEYED.deduplication_window_us
+    driver.now_us += WITH_IDEMPOTENCY_KEY.deduplication_window_us
     assert finals(driver.end(name, sends(actions)[0].endpoint_id, Outcome.RESET)) == [Fail(name)]
 
 
-def test_a_keyed_request_dropped_everywhere_may_be_refused() -> None:
-    anywhere = replace(KEYED, deduplication_scope=DeduplicationScope.ALL)
+def test_a_request_whose_key_is_deduplicated_everywhere_may_be_rejected() -> None:
+    anywhere = replace(WITH_IDEMPOTENCY_KEY, deduplication_scope=DeduplicationScope.ALL)
     driver = Driver(replace(SETTINGS, classes=(anywhere,), max_attempts=1))
     name, actions = driver.arrive()
     assert finals(driver.end(name, sends(actions)[0].endpoint_id, Outcome.ERROR)) == [Reject(name)]
 
 
-def test_attempts_end_with_the_limit() -> None:
+def test_attempts_are_limited() -> None:
     driver = Driver(replace(SETTINGS, max_attempts=2), endpoints=5)
     name, actions = driver.arrive()
     again = sends(driver.end(name, sends(actions)[0].endpoint_id, Outcome.ERROR))
     assert finals(driver.end(name, again[0].endpoint_id, Outcome.ERROR, attempt=1)) == [Reject(name)]
 
 
-def test_a_hedged_request_goes_out_when_the_first_is_overdue_and_the_loser_is_cancelled(
+def test_an_overdue_attempt_is_hedged_and_the_slower_one_is_cancelled(
     driver: Driver,
 ) -> None:
     driver.classes[0].smoothed_us = 20_000.0
@@ -98,7 +98,7 @@
     assert not driver.lifecycle.requests
 
 
-def test_an_overdue_attempt_goes_on_where_no_other_endpoint_may_take_it() -> None:
+def test_an_overdue_attempt_continues_where_no_other_endpoint_may_take_it() -> None:
     driver = Driver(replace(SETTINGS, may_hedge=False), endpoints=1)
     _, actions = driver.arrive()
     (timer,) = timers(actions)
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -129,7 +129,7 @@
 @pytest.mark.parametrize("gateways", [1, 3, 8])
 @pytest.mark.parametrize("multiple", [1, 3, 6])
 @pytest.mark.parametrize("gap_us", [0, 500, 15_000])
-def test_a_gateway_sends_at_most_its_share_of_the_capacity_of_an_endpoint_that_warms_up(
+def test_a_gateway_sends_at_most_its_share_of_the_capacity_in_slow_start(
     gateways: int, multiple: int, gap_us: int
 ) -> None:
     """Gateways that each used the whole capacity would overload an endpoint in its slow start."""
--- a/tests/decisions/test_settings.py
+++ b/tests/decisions/test_settings.py
@@ -7,7 +7,7 @@
 import pytest
 
 from load_balancer.decisions.settings import Prices, RequestClass
-from tests.decisions.driver import SETTINGS, UNSAFE
+from tests.decisions.driver import NON_IDEMPOTENT, SETTINGS
 
 NAN = float("nan")
 
@@ -55,4 +55,4 @@
 
 
 def test_non_idempotent_is_the_default() -> None:
-    assert RequestClass(latency_objective_us=1, client_timeout_us=1).idempotency is UNSAFE.idempotency
+    assert RequestClass(latency_objective_us=1, client_timeout_us=1).idempotency is NON_IDEMPOTENT.idempotency
--- a/tests/decisions/test_settings_version.py
+++ b/tests/decisions/test_settings_version.py
@@ -11,14 +11,28 @@
 from load_balancer.decisions.events import Outcome, SettingsChanged, TimerFired
 from load_balancer.decisions.settings import Settings, Tenant
 from load_balancer.decisions.settings_version import initial_version, next_version
-from tests.decisions.driver import KEYED, SAFE, SETTINGS, UNSAFE, Driver, finals, sends, succeed, timers, trip
-
-NAMED = tuple(replace(c, name=n) for c, n in ((SAFE, "read"), (KEYED, "order"), (UNSAFE, "pay")))
+from tests.decisions.driver import (
+    IDEMPOTENT,
+    NON_IDEMPOTENT,
+    SETTINGS,
+    WITH_IDEMPOTENCY_KEY,
+    Driver,
+    finals,
+    sends,
+    succeed,
+    timers,
+    trip,
+)
+
+NAMED = tuple(
+    replace(c, name=n)
+    for c, n in ((IDEMPOTENT, "read"), (WITH_IDEMPOTENCY_KEY, "order"), (NON_IDEMPOTENT, "pay"))
+)
 TENANTS = tuple(Tenant(quota_per_s=9.0, name=name) for name in ("acme", "umbrella", "wayne"))
 BEFORE = replace(SETTINGS, classes=NAMED, tenants=TENANTS)
 
 
-def test_numbers_stay_with_names_whose_meaning_stays() -> None:
+def test_ids_stay_with_names_whose_meaning_stays() -> None:
     first = initial_version(BEFORE)
     dearer = replace(NAMED[1], priority_weight=9.0)
     after = succeed(first, replace(BEFORE, classes=(NAMED[2], dearer, NAMED[0]), tenants=TENANTS[1:]))
@@ -32,7 +46,7 @@
     assert (first.number, after.number, back.number) == (1, 2, 3)
 
 
-def test_nothing_without_a_name_and_no_only_tenant_is_taken_for_another() -> None:
+def test_unnamed_items_and_the_only_tenant_get_new_ids() -> None:
     unnamed = succeed(initial_version(SETTINGS), replace(SETTINGS, classes=SETTINGS.classes[:1] * 2))
     assert unnamed.class_ids == (3, 4)
     assert unnamed.tenant_ids == (0,)
@@ -40,7 +54,7 @@
     assert succeed(initial_version(BEFORE), replace(BEFORE, tenants=())).tenant_ids == (3,)
 
 
-def test_a_comparison_comes_in_pieces() -> None:
+def test_a_comparison_yields_between_steps() -> None:
     """A change of one tenant among 23,000 must not stop the loop."""
     many = tuple(Tenant(name=f"t{n}") for n in range(5_000))
     changed = (*many[:4_999], Tenant(quota_per_s=1.0, name="t4999"))
@@ -48,7 +62,7 @@
     assert len(list(steps)) >= 2 * 5_000 // 500
 
 
-def test_state_follows_a_class_to_its_new_place() -> None:
+def test_state_follows_a_class_to_its_new_index() -> None:
     driver = Driver(BEFORE, endpoints=2)
     for _ in range(30):
         name, actions = driver.arrive(request_class=2, timeout_us=1_000_000, tenant=1)
@@ -66,7 +80,7 @@
         driver.end(name, 1)
 
 
-def test_what_has_changed_its_meaning_starts_anew() -> None:
+def test_a_class_whose_meaning_changed_starts_anew() -> None:
     driver = Driver(BEFORE, endpoints=2)
     place = breaker_key(2, 0)
     for endpoint in driver.endpoints.values():
@@ -80,7 +94,7 @@
     assert sends(driver.arrive(request_class=2, timeout_us=1_000_000)[1])
 
 
-def test_a_kind_that_is_gone_leaves_no_open_breaker_behind() -> None:
+def test_a_removed_class_leaves_no_open_breaker_behind() -> None:
     """None is ever evicted while it may be asked for: with each change some would stay for good."""
     driver = Driver(BEFORE, endpoints=2)
     trip(driver.endpoints[0].breakers[1], driver.now_us)
@@ -94,11 +108,11 @@
 
 
 @pytest.mark.parametrize("gone", [False, True])
-def test_a_request_ends_under_the_settings_that_it_was_taken_under(gone: bool) -> None:
+def test_a_request_ends_under_the_settings_that_it_arrived_under(gone: bool) -> None:
     """A class that must never run twice becomes one that may be repeated, or goes, with a request out."""
     driver = Driver(replace(BEFORE, max_attempts=4), endpoints=3)
     request, actions = driver.arrive(request_class=2, timeout_us=1_000_000, tenant=2)
-    classes = NAMED[:2] if gone else (*NAMED[:2], replace(SAFE, name="pay"))
+    classes = NAMED[:2] if gone else (*NAMED[:2], replace(IDEMPOTENT, name="pay"))
     driver.change_settings(Settings(classes, tenants=TENANTS[:1]))
     actions = driver.end(request, sends(actions)[0].endpoint_id, Outcome.RESET)
     assert finals(actions) == [Fail(request)]
@@ -121,7 +135,7 @@
     assert not driver.lifecycle.requests[driver.arrive(tenant=1)[0]].over_quota
 
 
-def test_an_older_version_is_never_taken_over() -> None:
+def test_an_older_version_is_never_applied() -> None:
     driver = Driver(BEFORE)
     first = driver.balancer.settings_version
     newer = driver.change_settings(replace(BEFORE, max_attempts=2))
@@ -131,7 +145,9 @@
 
 
 @pytest.mark.parametrize(("taken", "later", "sent"), [(1, 4, 0), (4, 1, 1)])
-def test_the_attempts_of_a_request_are_those_it_was_taken_with(taken: int, later: int, sent: int) -> None:
+def test_the_attempts_of_a_request_follow_the_settings_on_its_arrival(
+    taken: int, later: int, sent: int
+) -> None:
     driver = Driver(replace(BEFORE, max_attempts=taken), endpoints=3)
     request, actions = driver.arrive()
     driver.change_settings(replace(BEFORE, max_attempts=later))
@@ -141,7 +157,7 @@
 
 
 @pytest.mark.parametrize("copies", [False, True])
-def test_hedged_requests_are_for_requests_taken_while_they_were_allowed(copies: bool) -> None:
+def test_hedging_is_for_requests_that_arrived_while_it_was_allowed(copies: bool) -> None:
     driver = Driver(replace(BEFORE, may_hedge=copies, may_cancel=False), endpoints=3)
     driver.classes[0].smoothed_us = 10_000.0
     _, actions = driver.arrive()
@@ -152,7 +168,7 @@
 
 
 @pytest.mark.parametrize("proof", [False, True])
-def test_what_proves_that_nothing_ran_is_what_it_was_on_arrival(proof: bool) -> None:
+def test_whether_a_rejection_proves_anything_follows_the_settings_on_arrival(proof: bool) -> None:
     driver = Driver(replace(BEFORE, rejected_may_have_run=not proof), endpoints=1)
     request, actions = driver.arrive(request_class=2, timeout_us=1_000_000)
     driver.change_settings(replace(BEFORE, rejected_may_have_run=proof))
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -15,7 +15,7 @@
 from tests.decisions.driver import COLD, Driver, sends
 
 
-def test_cold_endpoints_are_kept_within_the_budget_by_all_gateways_together() -> None:
+def test_all_gateways_together_keep_endpoints_within_the_slow_start_budget() -> None:
     """Each gateway sent its one allowed request at the moment an endpoint was listed, forty at once."""
     work_us = [0.0] * 20  # by windows of half a second
     for gateway in range(40):
@@ -32,7 +32,7 @@
     assert sum(work_us) > 0
 
 
-def test_a_jam_does_not_make_a_cold_endpoints_work_seem_longer() -> None:
+def test_overload_does_not_inflate_the_work_charged_in_slow_start() -> None:
     """While the warm endpoints were jammed, requests seemed to cost more, and cold ones got none."""
     sent = []
     for hint in (None, 10_000):
--- a/tests/decisions/test_slow_start_fleet.py
+++ b/tests/decisions/test_slow_start_fleet.py
@@ -65,7 +65,7 @@
 @pytest.mark.parametrize("hint", [None, WORK_US])
 @pytest.mark.parametrize("bursts", [range(0, 23_000_000, 1_000_000), range(8_000_000, 23_000_000, 7_000_000)])
 @pytest.mark.parametrize(("gateways", "endpoints"), [(20, 10), (30, 4), (200, 60), (490, 10)])
-def test_all_gateways_together_keep_to_a_cold_endpoint_s_budget(
+def test_all_gateways_together_keep_to_an_endpoints_slow_start_budget(
     gateways: int, endpoints: int, bursts: range, hint: int | None
 ) -> None:
     """Each may always send its first request, whatever the budget; these firsts must not come together."""
--- a/tests/decisions/test_subset.py
+++ b/tests/decisions/test_subset.py
@@ -47,7 +47,7 @@
     assert len(met) > 3 * MIN_SUBSET_SIZE
 
 
-def test_an_open_endpoint_gives_its_place_to_the_next_in_rank() -> None:
+def test_an_endpoint_with_an_open_breaker_is_replaced_by_the_next_in_rank() -> None:
     driver = Driver(replace(SETTINGS, gateways=300), endpoints=60)
     subset = driver.subset()
     trip(subset[0].breakers[0], driver.now_us)
@@ -57,7 +57,7 @@
     assert len(after) == len(subset)
 
 
-def test_a_cold_endpoint_beyond_the_subset_is_not_used() -> None:
+def test_an_endpoint_in_slow_start_beyond_the_subset_is_not_used() -> None:
     """When many step aside from failing endpoints, all would meet on the same cold one."""
     driver = Driver(replace(COLD, gateways=300), endpoints=60)
     last = driver.balancer.endpoints.by_rank[-1].endpoint.id
--- a/tests/decisions/test_weight_controller.py
+++ b/tests/decisions/test_weight_controller.py
@@ -22,7 +22,7 @@
 from tests.decisions.driver import Driver, sends, trip
 
 
-def test_weight_steps_up_and_is_cut() -> None:
+def test_the_weight_rises_in_steps_and_falls_by_a_factor() -> None:
     driver = Driver(endpoints=1)
     endpoint = driver.endpoints[0]
     endpoint.weight = 0.5
@@ -34,7 +34,7 @@
     assert endpoint.weight == (0.5 + WEIGHT_INCREASE) * WEIGHT_DECREASE_FACTOR
 
 
-def test_a_reply_over_twice_the_smoothed_latency_is_cut() -> None:
+def test_an_answer_over_twice_the_smoothed_latency_lowers_the_weight() -> None:
     driver = Driver(endpoints=1)
     endpoint = driver.endpoints[0]
     name, _ = driver.arrive()
@@ -42,7 +42,7 @@
     assert endpoint.weight == MAX_WEIGHT * WEIGHT_DECREASE_FACTOR
 
 
-def test_weight_stays_between_floor_and_ceiling() -> None:
+def test_the_weight_stays_within_its_bounds() -> None:
     driver = Driver(endpoints=1)
     endpoint = driver.endpoints[0]
     for _ in range(40):
@@ -53,7 +53,7 @@
     assert endpoint.weight == MAX_WEIGHT
 
 
-def test_a_newcomer_starts_at_the_mean_weight() -> None:
+def test_a_new_endpoint_starts_at_the_mean_weight() -> None:
     driver = Driver(endpoints=2)
     driver.endpoints[0].weight = 0.2
     driver.endpoints[1].weight = 0.6
@@ -61,7 +61,7 @@
     assert driver.endpoints[9].weight == 0.4
 
 
-def test_a_closed_again_endpoint_regains_its_weight() -> None:
+def test_an_endpoint_has_its_old_weight_once_its_breaker_closes() -> None:
     driver = Driver(endpoints=1)
     endpoint = driver.endpoints[0]
     for _ in range(MINIMUM_OUTCOMES):
@@ -79,7 +79,7 @@
     assert endpoint.weight == max(MIN_WEIGHT, weight)
 
 
-def test_an_endpoint_keeps_its_weight_from_before_the_trip() -> None:
+def test_an_endpoint_keeps_the_weight_from_before_its_breaker_opened() -> None:
     """Late outcomes and failed trials cut the weight that a recovering endpoint was to come back with."""
     driver = Driver(endpoints=1)
     endpoint = driver.endpoints[0]
--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -18,7 +18,7 @@
 from load_balancer.gateway.discovery import DiscoveryClient
 from load_balancer.gateway.discovery_call import DiscoveryCall
 from load_balancer.gateway.discovery_messages import endpoint_id_of
-from tests.decisions.driver import SAFE, Driver, timers
+from tests.decisions.driver import IDEMPOTENT, Driver, timers
 from tests.gateway.configurations import settings
 from tests.gateway.discovery_helpers import next_list, other_discovery, watched
 from tests.gateway.running_gateway import running_gateway
@@ -60,7 +60,7 @@
 def test_the_silence_timeout_leaves_time_for_a_failed_call_and_a_successful_one() -> None:
     """Longer, and the call after the silence would not be answered within the deadline for changes."""
     line_s, call_s = 2.0, 1.0
-    waits_s = retry_waits_s(2, Settings((SAFE,), endpoints_are_pushed=False))
+    waits_s = retry_waits_s(2, Settings((IDEMPOTENT,), endpoints_are_pushed=False))
     assert (
         line_s + 0.5 < discovery_call.SILENCE_TIMEOUT_S < discovery.CHANGE_DEADLINE_S - sum(waits_s) - call_s
     )
@@ -157,7 +157,9 @@
 @pytest.mark.parametrize("poll_interval_s", [1, 10, 60, 600])
 def test_a_failed_call_is_retried_in_time_whatever_the_poll_interval(poll_interval_s: int) -> None:
     """A share of a long interval would exceed the deadline for changes."""
-    settings = Settings((SAFE,), endpoints_are_pushed=False, max_poll_interval_us=poll_interval_s * 1_000_000)
+    settings = Settings(
+        (IDEMPOTENT,), endpoints_are_pushed=False, max_poll_interval_us=poll_interval_s * 1_000_000
+    )
     waits_s = retry_waits_s(8, settings)
     assert max(waits_s[:1]) <= min(0.5, poll_interval_s / 20)
     assert max(waits_s) <= min(4.0, poll_interval_s / 2)
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -84,7 +84,7 @@
     assert "gateway_8" in errors
 
 
-def test_things_finished_already_are_ignored() -> None:
+def test_events_of_finished_requests_are_ignored() -> None:
     replies, errors = run(
         *START,
         "begin_batch simTimeUs=2000",
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -50,7 +50,7 @@
     assert call("check", tmp_path).exit_code == call("check", tmp_path / "none").exit_code == 2
 
 
-def test_check_passes_what_is_good() -> None:
+def test_check_accepts_a_valid_file() -> None:
     assert call("check", EXAMPLE).exit_code == 0
 
 
@@ -76,7 +76,7 @@
     return path
 
 
-def test_show_writes_every_default_out(short_file: Path) -> None:
+def test_show_prints_every_default(short_file: Path) -> None:
     shown = json.loads(call("show", short_file).stdout)
     assert shown["settings"]["lanes"][0]["aimUs"] == 9
     assert shown["limits"] == {"sockets": 1024}
@@ -110,9 +110,7 @@
     return document | {"seed": "1", "discovery": "127.0.0.3:1"}
 
 
-def test_diff_names_what_is_touched_and_what_starts_anew(
-    path: Path, changed_document: dict[str, Any]
-) -> None:
+def test_diff_names_what_changes_and_what_starts_anew(path: Path, changed_document: dict[str, Any]) -> None:
     path.write_text(json.dumps(changed_document))
     lines = call("diff", EXAMPLE, path).stdout.splitlines()
     assert lines == [
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -3,6 +3,7 @@
 import ast
 import sys
 import tomllib
+from graphlib import TopologicalSorter
 from pathlib import Path
 
 import pytest
@@ -14,13 +15,14 @@
 
 
 def imported_modules(path: Path) -> set[str]:
-    """Return the dotted names of the modules that a source file imports."""
+    """Return the dotted names of what a source file imports: modules, and what it takes from them."""
     found: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
             found |= {alias.name for alias in node.names}
         elif isinstance(node, ast.ImportFrom):
             found.add(node.module or "")
+            found |= {f"{node.module}.{alias.name}" for alias in node.names}
     return found
 
 
@@ -69,3 +71,15 @@
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: str(path.relative_to(PACKAGE)))
 def test_a_module_stays_short_enough_to_read(path: Path) -> None:
     assert len(path.read_text().splitlines()) <= MAX_MODULE_LINES
+
+
+def module_name(path: Path) -> str:
+    """Return the dotted name of a source file of the project."""
+    return ".".join(path.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__")
+
+
+@pytest.mark.parametrize("package", ["load_balancer", "lab"])
+def test_no_module_imports_itself_by_way_of_others(package: str) -> None:
+    sources = {module_name(path): path for path in (ROOT / package).rglob("*.py")}
+    order = TopologicalSorter({name: imported_modules(path) - {name} for name, path in sources.items()})
+    order.prepare()  # raises CycleError, which names the modules
--- a/tests/transcript_simulation/days.py
+++ b/tests/transcript_simulation/days.py
@@ -12,7 +12,7 @@
 
 
 def request_class(name: str, aim_ms: int, **more: object) -> Json:
-    """A request class on the wire; the client's patience is five times the aim."""
+    """A request class on the wire; the client's timeout is five times the latency objective."""
     return {"name": name, "aimUs": aim_ms * 1000, "giveUpUs": aim_ms * 5000, **more}
 
 
--- a/tests/transcript_simulation/simulation.py
+++ b/tests/transcript_simulation/simulation.py
@@ -27,7 +27,7 @@
     name: str
     request_class: Json
     tenant: int
-    end_us: int  # when the client has no patience left over all its tries
+    end_us: int  # when the client gives up over all its tries
     key: int | None
     work_us: int
     done: bool = False
@@ -88,14 +88,14 @@
         heapq.heappush(self.heap, (self.now_us + max(0, int(delay_us)), self.pushed, act))
 
     def every(self, period_us: int, act: Callable[[], None]) -> None:
-        """Do something again and again while there is traffic."""
+        """Do something periodically while there is traffic."""
 
-        def again() -> None:
+        def repeat() -> None:
             act()
             if not self.is_over():
-                self.schedule(period_us, again)
+                self.schedule(period_us, repeat)
 
-        self.schedule(period_us, again)
+        self.schedule(period_us, repeat)
 
     def is_over(self) -> bool:
         """Whether the day's traffic has ended."""
@@ -131,7 +131,7 @@
         elif name == "retract":
             self.retract(self.requests[fields["requestId"]], int(fields["shot"]))
         elif name in ("bounce", "surrender"):
-            self.refused(fields["requestId"], int(fields.get("comeBackUs", 0)))
+            self.on_final_answer(fields["requestId"], int(fields.get("comeBackUs", 0)))
         elif name == "track":
             self.watch()
 
@@ -145,7 +145,9 @@
         key = self.random.randrange(6) if self.random.random() < 0.6 else None
         work_us = int(self.random.lognormvariate(10.4, 0.6))  # 33 ms
         self.schedule_next()
-        self.ask(request_class, tenant, self.now_us + request_class["giveUpUs"], key, work_us, again=False)
+        self.send_try(
+            request_class, tenant, self.now_us + request_class["giveUpUs"], key, work_us, is_retry=False
+        )
 
     def schedule_next(self) -> None:
         """The next first try."""
@@ -155,8 +157,8 @@
         if not self.is_over():
             self.schedule(gap_us, self.arrive)
 
-    def ask(
-        self, request_class: Json, tenant: int, end_us: int, key: int | None, work_us: int, again: bool
+    def send_try(
+        self, request_class: Json, tenant: int, end_us: int, key: int | None, work_us: int, is_retry: bool
     ) -> None:
         """One try of a request."""
         if request_class not in self.settings["lanes"]:
@@ -165,45 +167,47 @@
         name = f"r{self.count}"
         self.requests[name] = ClientRequest(name, request_class, tenant, end_us, key, work_us)
         left_us = end_us - self.now_us
-        hurried = not again and self.random.random() < 0.03
-        patience_us = left_us // 40 if hurried else left_us if again else request_class["giveUpUs"] // 2
+        has_short_timeout = not is_retry and self.random.random() < 0.03
+        timeout_us = (
+            left_us // 40 if has_short_timeout else left_us if is_retry else request_class["giveUpUs"] // 2
+        )
         if self.random.random() < 0.04:
-            self.schedule(self.random.random() * patience_us, partial(self.leave, name))
-        self.schedule(patience_us, partial(self.leave, name))
+            self.schedule(self.random.random() * timeout_us, partial(self.give_up, name))
+        self.schedule(timeout_us, partial(self.give_up, name))
         self.handle(
             message(
                 "incoming",
                 requestId=name,
                 priority=self.settings["lanes"].index(request_class),
-                graceUs=patience_us,
+                graceUs=timeout_us,
                 affinity=None if key is None else f"{key:x}",
                 costUs=work_us if self.random.random() < 0.5 else None,
-                retry=1 if again and self.random.random() < 0.8 else None,
+                retry=1 if is_retry and self.random.random() < 0.8 else None,
                 customer=tenant if self.day.tenants else None,
             )
         )
 
-    def leave(self, name: str) -> None:
-        """The client gives up, and may ask again."""
+    def give_up(self, name: str) -> None:
+        """The client gives up, and may retry."""
         request = self.requests[name]
         if not request.done:
             request.done = True
             self.handle(message("dropped", requestId=name))
-            self.ask_again(request, 0)
+            self.retry_later(request, 0)
 
-    def refused(self, name: str, advice_us: int) -> None:
-        """The balancer's own final answer; the client may ask again."""
+    def on_final_answer(self, name: str, advice_us: int) -> None:
+        """The balancer's own final answer; the client may retry."""
         request = self.requests.get(name)
         if request is not None and not request.done:
             request.done = True
-            self.ask_again(request, advice_us)
+            self.retry_later(request, advice_us)
 
-    def ask_again(self, request: ClientRequest, advice_us: int) -> None:
-        """A repeat by the client within what is left of its patience."""
+    def retry_later(self, request: ClientRequest, advice_us: int) -> None:
+        """A retry by the client within its timeout."""
         wait_us = max(advice_us, self.random.randrange(20_000, 120_000))
         if self.random.random() < 0.5 and self.now_us + wait_us + 10_000 < request.end_us:
             terms = (request.request_class, request.tenant, request.end_us, request.key, request.work_us)
-            self.schedule(wait_us, partial(self.ask, *terms, again=True))
+            self.schedule(wait_us, partial(self.send_try, *terms, is_retry=True))
 
     # Endpoints
 
