--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -26,10 +26,11 @@
     return found
 
 
-def test_the_deploy_file_names_the_package_of_the_decisions() -> None:
+def test_the_deploy_file_names_each_module_of_the_decisions() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-    assert deploy["policy"] == ["load_balancer/decisions"]
-    assert DECISIONS
+    modules = [str(path.relative_to(ROOT)) for path in DECISIONS if path.name != "__init__.py"]
+    assert deploy["policy"] == modules
+    assert modules
     assert all((ROOT / name).exists() for name in deploy["node"])
 
 
