--- a/load_balancer/decisions/admission.py
+++ b/load_balancer/decisions/admission.py
@@ -28,7 +28,7 @@
 
     Attributes:
         load_shed_share: Share of the work to shed by load-dependent weights, from 0 to `MAX_SHED_SHARE`.
-        order: The demand by priority, as last sorted.
+        priority_order: The demand by priority, as last sorted.
         mean_priority_weight: Mean priority weight of the demand, as of that order.
         worst_served_share: Smallest share of a class's requests served in time, as of that order.
     """
@@ -40,7 +40,7 @@
         "_random",
         "load_shed_share",
         "mean_priority_weight",
-        "order",
+        "priority_order",
         "worst_served_share",
     )
 
@@ -50,7 +50,7 @@
         self._demand = demand
         self._limit = limit
         self.load_shed_share = 0.0
-        self.order = PriorityOrder(-1, [])
+        self.priority_order = PriorityOrder(-1, [])
         self.mean_priority_weight = 1.0
         self.worst_served_share = 1.0
 
@@ -65,37 +65,42 @@
 
     def invalidate_order(self) -> None:
         """Discard the order by priority, so that it is sorted again before its next use."""
-        self.order = PriorityOrder(-1, [])
+        self.priority_order = PriorityOrder(-1, [])
 
-    def apply_load_dependent_weights(self, held_requests: float, endpoint_count: int) -> None:
+    def apply_load_dependent_weights(self, estimated_in_flight: float, endpoint_count: int) -> None:
         """Adjust the share to shed to the requests in flight at all endpoints, as their listed weights show.
 
         A gateway with few answers of its own would notice an overload only seconds later.
         """
-        excess = held_requests / endpoint_count / HELD_REQUESTS_PER_CORE - 1.0
+        excess = estimated_in_flight / endpoint_count / HELD_REQUESTS_PER_CORE - 1.0
         share = self.load_shed_share + SHED_SHARE_STEP * min(2.0, excess)
         self.load_shed_share = min(MAX_SHED_SHARE, max(0.0, share))
 
-    def is_shed(self, request: Request, any_closed: bool) -> bool:
+    def should_shed(self, request: Request, any_breaker_closed: bool) -> bool:
         """Return whether to reject a request that has just arrived.
 
         Args:
             request: The request.
-            any_closed: Whether the breaker of any endpoint is closed. While none is, nothing is shed:
+            any_breaker_closed: Whether the breaker of any endpoint is closed. While none is, nothing is shed:
                 half-open ones need trials, and without an answer nothing would change.
         """
-        if self._is_hopeless(request):
+        if self._has_too_short_timeout(request):
             return True
         shed_share = self.shed_share
-        if shed_share <= 0.0 or not any_closed:
+        if shed_share <= 0.0 or not any_breaker_closed:
             return False
-        if self.order.is_stale(self._demand.changes):
+        if self.priority_order.is_stale(self._demand.change_count):
             self.sort_demand()
         request_class = request.request_class
         counts = self._demand.over_quota if request.over_quota else self._demand.within_quota
-        amount = counts.get(request_class.class_id, 0.0) * request_class.unloaded_us
-        below = self.order.share_below(self.priority(request_class, request.over_quota))
-        return below + amount / self.order.whole * self._random.random() < shed_share
+        class_work = counts.get(request_class.class_id, 0.0) * request_class.unloaded_us
+        lower_priority_share = self.priority_order.share_below(
+            self.priority(request_class, request.over_quota)
+        )
+        return (
+            lower_priority_share + class_work / self.priority_order.total_work * self._random.random()
+            < shed_share
+        )
 
     def sort_demand(self) -> None:
         """Sort the recent demand by priority."""
@@ -103,11 +108,11 @@
         by_id = self._context.classes.by_id
         demand_by_class = demand.within_quota
         total = sum(demand_by_class.values()) or 1.0
-        weighted = sum(
-            by_id[class_id].terms.priority_weight * count
+        weight_sum = sum(
+            by_id[class_id].definition.priority_weight * count
             for class_id, count in sorted(demand_by_class.items())
         )
-        self.mean_priority_weight = weighted / total or 1.0
+        self.mean_priority_weight = weight_sum / total or 1.0
         served = [demand.served.get(class_id, 0.0) / count for class_id, count in demand_by_class.items()]
         if len(served) < len(by_id):
             served.append(1.0)  # a class without demand counts as fully served
@@ -117,7 +122,7 @@
             for over_quota, counts in ((False, demand_by_class), (True, demand.over_quota))
             for class_id, count in counts.items()
         ]
-        self.order = PriorityOrder(demand.changes, parts)
+        self.priority_order = PriorityOrder(demand.change_count, parts)
 
     def priority(self, request_class: ClassState, over_quota: bool) -> float:
         """Return the gain of the objective for a unit of endpoint time spent on a class."""
@@ -126,7 +131,7 @@
         objective = settings.objective
         unit_us = 1.0 if settings.weight_by_work else request_class.unloaded_us
         weight = objective.overall + objective.worst_window
-        gain = weight * request_class.terms.priority_weight / self.mean_priority_weight / unit_us
+        gain = weight * request_class.definition.priority_weight / self.mean_priority_weight / unit_us
         if over_quota:
             return gain * settings.over_quota_weight_share
         class_id = request_class.class_id
@@ -135,22 +140,22 @@
             gain += objective.worst_class * (demand.total_within_quota or 1.0) / class_demand / unit_us
         return gain
 
-    def shedding_left_us(self) -> int:
+    def remaining_shedding_us(self) -> int:
         """Return the estimated time until shedding ends: that of answering the excess in flight."""
         limit = self._limit
-        answers = max(limit.in_flight - limit.limit, self.load_shed_share / SHED_SHARE_STEP)
-        return int(answers * self._context.classes.slowest.smoothed_us / max(1, limit.in_flight))
+        excess_answers = max(limit.in_flight - limit.limit, self.load_shed_share / SHED_SHARE_STEP)
+        return int(excess_answers * self._context.classes.slowest.smoothed_us / max(1, limit.in_flight))
 
-    def _is_hopeless(self, request: Request) -> bool:
+    def _has_too_short_timeout(self, request: Request) -> bool:
         """Return whether the remaining timeout is over or shorter than the unloaded latency.
 
         Repeated requests with short timeouts would keep the endpoints busy with work whose clients have left.
         A few are admitted as trials, as latency may have fallen.
         """
         now_us = self._context.now_us
-        left_us = request.wait_until_us(now_us) - now_us
-        if left_us <= 0:
+        remaining_us = request.wait_until_us(now_us) - now_us
+        if remaining_us <= 0:
             return True
-        known = request.request_class.answers >= MIN_ANSWERS
-        too_short = known and left_us < request.unloaded_us
+        latency_is_known = request.request_class.answer_count >= MIN_ANSWERS
+        too_short = latency_is_known and remaining_us < request.unloaded_us
         return too_short and self._random.random() >= SHORT_TIMEOUT_TRIAL_SHARE
--- a/load_balancer/decisions/balancer.py
+++ b/load_balancer/decisions/balancer.py
@@ -141,11 +141,11 @@
         elif isinstance(event, TimerFired):
             self.timers.fire(event.token)
         else:
-            self._on_rare_event(event)
+            self._on_other_event(event)
         self.lifecycle.advance_released_queues()
         return self._actions.copy()
 
-    def _on_rare_event(self, event: Event) -> None:
+    def _on_other_event(self, event: Event) -> None:
         if isinstance(event, ClientDisconnected):
             self._on_client_disconnected(event)
         elif isinstance(event, EndpointListReceived):
@@ -166,17 +166,17 @@
             self._actions.append(Fail(event.request_id))
             return
         request_class = context.classes[event.request_class]
-        request = self.intake.accept(event, context.now_us, request_class, context.settings_version)
+        request = self.intake.create_request(event, context.now_us, request_class, context.settings_version)
         requests[request.id] = request
         self.arrivals.note_arrival(context.now_us)
-        if self.admission.is_shed(request, self.endpoints.any_closed):
+        if self.admission.should_shed(request, self.endpoints.any_breaker_closed):
             self.lifecycle.answer_unserved(request)
         else:
             self.lifecycle.start(request)
 
     def _on_client_disconnected(self, event: ClientDisconnected) -> None:
         request = self.lifecycle.requests.get(event.request_id)
-        if request is None or request.done:
+        if request is None or request.answered:
             return
         for attempt in request.attempts[-1:]:
             # The client waited longer than an unloaded endpoint takes: this counts as a time-out. Otherwise
@@ -187,7 +187,7 @@
 
     def _on_stream_started(self, event: StreamStarted) -> None:
         request = self.lifecycle.requests.get(event.request_id)
-        if request is not None and not request.done and 0 <= event.attempt < len(request.attempts):
+        if request is not None and not request.answered and 0 <= event.attempt < len(request.attempts):
             self.lifecycle.start_stream(request, event.attempt)
 
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
@@ -201,12 +201,16 @@
         self.lifecycle.end_attempt(request, attempt, event.outcome)
         self.load_reports.apply(attempt.endpoint, event.load_report, now_us)
         self.outcomes.record(request, attempt, event, now_us)
-        if event.outcome is Outcome.OK and not request.done:
+        if event.outcome is Outcome.OK and not request.answered:
             self._note_served(request)
         self.lifecycle.after_attempt(request, event)
 
     def _note_served(self, request: Request) -> None:
-        counted = request.first_try and not request.over_quota and request.request_class.owner is not None
+        counted = (
+            request.is_first_try
+            and not request.over_quota
+            and request.request_class.current_classes is not None
+        )
         if counted and self.context.now_us <= request.objective_us:
             self.demand.note_served(request.request_class.class_id)
 
@@ -232,4 +236,4 @@
         max_initial_work_us = max(context.classes.slowest.smoothed_us, budget_us / 2)
         endpoints.apply(event, context.now_us, max_initial_work_us, context.settings)
         if context.settings.load_dependent_weights and endpoints.by_id:
-            self.admission.apply_load_dependent_weights(endpoints.held_requests, len(endpoints.by_id))
+            self.admission.apply_load_dependent_weights(endpoints.estimated_in_flight, len(endpoints.by_id))
--- a/load_balancer/decisions/circuit_breaker.py
+++ b/load_balancer/decisions/circuit_breaker.py
@@ -52,77 +52,77 @@
 
     Attributes:
         key: `ALL_REQUESTS`, or a key from `breaker_key`.
-        ring: The last outcomes, a byte each, the oldest first; 1 is a failure.
+        window: The last outcomes, a byte each, the oldest first; 1 is a failure.
         failures: Failures in the ring.
         state: Closed, open or half-open.
         last_outcome_us: When the last outcome was recorded.
         open_until_us: When the current cooldown ends.
         cooldown_us: Length of the current or the next cooldown, in microseconds.
-        half_open_spell: Number of the current half-open period; attempts sent within it are its trials.
+        half_open_period: Number of the current half-open period; attempts sent within it are its trials.
         trials_in_flight: Trials without an outcome so far.
         trial_results: For each trial with an outcome, whether it failed.
     """
 
     __slots__ = (
         "cooldown_us",
+        "endpoint_breakers",
         "failures",
-        "half_open_spell",
+        "half_open_period",
         "key",
         "last_outcome_us",
         "open_until_us",
-        "owner",
         "registry",
-        "ring",
         "state",
         "trial_results",
         "trials_in_flight",
+        "window",
     )
 
-    def __init__(self, owner: EndpointBreakers | None = None, key: int = ALL_REQUESTS) -> None:
-        self.owner = owner
+    def __init__(self, endpoint_breakers: EndpointBreakers | None = None, key: int = ALL_REQUESTS) -> None:
+        self.endpoint_breakers = endpoint_breakers
         self.key = key
-        self.registry = owner.registry if owner is not None else BreakerRegistry()
-        self.ring = b""
+        self.registry = endpoint_breakers.registry if endpoint_breakers is not None else BreakerRegistry()
+        self.window = b""
         self.failures = 0
         self.state = BreakerState.CLOSED
         self.last_outcome_us = 0
         self.open_until_us = 0
         self.cooldown_us = INITIAL_COOLDOWN_US
-        self.half_open_spell = 0
+        self.half_open_period = 0
         self.trials_in_flight = 0
         self.trial_results: tuple[bool, ...] = ()
 
-    def lets_through(self, now_us: int) -> bool:
+    def allows_attempt(self, now_us: int) -> bool:
         """Return True if closed, or half-open with trials left; an open breaker turns half-open when due."""
         if self.state is BreakerState.CLOSED:
             return True
         if self.state is BreakerState.OPEN:
             if now_us < self.open_until_us:
                 return False
-            self._turn_half_open()
+            self._enter_half_open()
         return self.trials_in_flight + len(self.trial_results) < HALF_OPEN_TRIALS
 
-    def take_trial(self) -> int:
+    def acquire_trial(self) -> int:
         """Return the half-open spell that a new attempt is a trial of, or 0 for an ordinary attempt."""
         if self.state is not BreakerState.HALF_OPEN:
             return 0
         self.trials_in_flight += 1
-        return self.half_open_spell
+        return self.half_open_period
 
-    def release_trial(self, trial_of: int) -> None:
+    def release_trial(self, trial_period: int) -> None:
         """Release a trial whose outcome is no evidence about the endpoint, so that another may follow."""
-        if self.state is BreakerState.HALF_OPEN and trial_of == self.half_open_spell:
+        if self.state is BreakerState.HALF_OPEN and trial_period == self.half_open_period:
             self.trials_in_flight -= 1
 
     def record(
-        self, now_us: int, failed: bool, trial_of: int, fleet_failure_share: float
+        self, now_us: int, failed: bool, trial_period: int, fleet_failure_share: float
     ) -> BreakerState | None:
         """Record an outcome.
 
         Args:
             now_us: The time in microseconds.
             failed: Whether the attempt failed.
-            trial_of: What `take_trial` returned when the attempt was sent.
+            trial_period: What `acquire_trial` returned when the attempt was sent.
             fleet_failure_share: Expected share of failures from causes other than this endpoint, from 0 to 1.
 
         Returns:
@@ -131,24 +131,24 @@
         self.registry.remove(self)
         self.last_outcome_us = now_us
         if self.state is BreakerState.HALF_OPEN:
-            changed = self._record_trial(now_us, failed, trial_of)
+            new_state = self._record_trial(now_us, failed, trial_period)
         else:
-            changed = self._record_in_ring(now_us, failed, fleet_failure_share)
+            new_state = self._record_in_window(now_us, failed, fleet_failure_share)
         self.registry.insert(self)
-        return changed
+        return new_state
 
-    def _turn_half_open(self) -> None:
+    def _enter_half_open(self) -> None:
         registry = self.registry
         registry.remove(self)
         self.state = BreakerState.HALF_OPEN
         registry.insert(self)
-        registry.half_open_spells += 1  # counted over all breakers: trials of a dropped one never match
-        self.half_open_spell = registry.half_open_spells
+        registry.half_open_period_count += 1  # counted over all breakers: trials of a dropped one never match
+        self.half_open_period = registry.half_open_period_count
         self.trials_in_flight = 0
         self.trial_results = ()
 
-    def _record_trial(self, now_us: int, failed: bool, trial_of: int) -> BreakerState | None:
-        if trial_of != self.half_open_spell:
+    def _record_trial(self, now_us: int, failed: bool, trial_period: int) -> BreakerState | None:
+        if trial_period != self.half_open_period:
             return None  # while half-open, only the outcomes of trials count
         self.trials_in_flight -= 1
         self.trial_results += (failed,)
@@ -158,13 +158,15 @@
             return self._open(now_us)
         return self._close() if len(self.trial_results) == HALF_OPEN_TRIALS else None
 
-    def _record_in_ring(self, now_us: int, failed: bool, fleet_failure_share: float) -> BreakerState | None:
-        if len(self.ring) == RING_SIZE:
-            self.failures -= self.ring[0]
-        self.ring = self.ring[1 - RING_SIZE :] + (b"\1" if failed else b"\0")
+    def _record_in_window(self, now_us: int, failed: bool, fleet_failure_share: float) -> BreakerState | None:
+        if len(self.window) == RING_SIZE:
+            self.failures -= self.window[0]
+        self.window = self.window[1 - RING_SIZE :] + (b"\1" if failed else b"\0")
         self.failures += failed
-        limit = len(self.ring) * (fleet_failure_share + (1.0 - fleet_failure_share) * FAILURE_THRESHOLD)
-        if failed and len(self.ring) >= MINIMUM_OUTCOMES and self.failures >= limit:
+        failure_limit = len(self.window) * (
+            fleet_failure_share + (1.0 - fleet_failure_share) * FAILURE_THRESHOLD
+        )
+        if failed and len(self.window) >= MINIMUM_OUTCOMES and self.failures >= failure_limit:
             return self._open(now_us)
         return None
 
@@ -175,7 +177,7 @@
 
     def _close(self) -> BreakerState:
         self.state = BreakerState.CLOSED
-        self.ring = b""
+        self.window = b""
         self.failures = 0
         self.cooldown_us = INITIAL_COOLDOWN_US
         return self.state
@@ -188,49 +190,56 @@
 
     Attributes:
         registry: The registry that counts these breakers.
-        recent: Breaker key and failure of the endpoint's last outcomes, the oldest first; dropped together
-            with the breaker of all requests.
+        recent_outcomes: Breaker key and failure of the endpoint's last outcomes, the oldest first; dropped
+            together with the breaker of all requests.
     """
 
-    __slots__ = ("recent", "registry")
+    __slots__ = ("recent_outcomes", "registry")
 
     def __init__(self, registry: BreakerRegistry) -> None:
         super().__init__()
         self.registry = registry
-        self.recent: list[tuple[int, bool]] = []
+        self.recent_outcomes: list[tuple[int, bool]] = []
 
     def __missing__(self, key: int) -> CircuitBreaker:
         breaker = self[key] = CircuitBreaker(self, key)
         return breaker
 
-    def retire(self) -> None:
+    def detach(self) -> None:
         """Leave the registry, as the endpoint was removed; later outcomes no longer count in its totals."""
-        spare = BreakerRegistry(self.registry.half_open_spells)
+        detached_registry = BreakerRegistry(self.registry.half_open_period_count)
         for breaker in self.values():
             self.registry.remove(breaker)
-            breaker.registry = spare
-            spare.insert(breaker)
-        self.registry = spare
+            breaker.registry = detached_registry
+            detached_registry.insert(breaker)
+        self.registry = detached_registry
 
 
 class BreakerRegistry:
     """Totals over the breakers of all listed endpoints, and the order in which closed breakers expire.
 
     Attributes:
-        half_open_spells: Half-open spells so far, of any breaker.
+        half_open_period_count: Half-open spells so far, of any breaker.
         totals: By breaker key, outcomes and failures in the rings of closed breakers.
-        not_closed_endpoints: Endpoints whose breaker of all requests is not closed.
+        not_closed_endpoint_count: Endpoints whose breaker of all requests is not closed.
         open_count: Breakers that are open.
         closed: Closed breakers by their last outcome, the oldest first.
         not_closed: Open and half-open breakers.
     """
 
-    __slots__ = ("closed", "half_open_spells", "not_closed", "not_closed_endpoints", "open_count", "totals")
+    __slots__ = (
+        "closed",
+        "half_open_period_count",
+        "not_closed",
+        "not_closed_endpoint_count",
+        "open_count",
+        "totals",
+    )
 
-    def __init__(self, half_open_spells: int = 0) -> None:
-        self.half_open_spells = half_open_spells
+    def __init__(self, half_open_period_count: int = 0) -> None:
+        self.half_open_period_count = half_open_period_count
         self.totals: dict[int, list[int]] = {}
-        self.not_closed_endpoints = 0
+        self.not_closed_endpoint_count = 0
         self.open_count = 0
         self.closed: OrderedDict[CircuitBreaker, None] = OrderedDict()
         self.not_closed: dict[CircuitBreaker, None] = {}
@@ -267,24 +276,24 @@
         """Return the share of failures in the closed rings of a key but one; 0 where there are none."""
         outcomes, failures = self.totals.get(key, (0, 0))
         if excluded is not None and excluded.state is BreakerState.CLOSED and excluded.registry is self:
-            outcomes -= len(excluded.ring)
+            outcomes -= len(excluded.window)
             failures -= excluded.failures
         return failures / outcomes if outcomes else 0.0
 
     def _count(self, breaker: CircuitBreaker, sign: int) -> None:
         if breaker.state is not BreakerState.CLOSED:
             self.open_count += sign * (breaker.state is BreakerState.OPEN)
-            self.not_closed_endpoints += sign * (breaker.key == ALL_REQUESTS)
-        elif breaker.ring:
+            self.not_closed_endpoint_count += sign * (breaker.key == ALL_REQUESTS)
+        elif breaker.window:
             total = self.totals.setdefault(breaker.key, [0, 0])
-            total[0] += sign * len(breaker.ring)
+            total[0] += sign * len(breaker.window)
             total[1] += sign * breaker.failures
             if not total[0]:
                 del self.totals[breaker.key]
 
     def _drop(self, breaker: CircuitBreaker) -> None:
         self.remove(breaker)
-        if breaker.owner is not None:
-            del breaker.owner[breaker.key]
+        if breaker.endpoint_breakers is not None:
+            del breaker.endpoint_breakers[breaker.key]
             if breaker.key == ALL_REQUESTS:
-                breaker.owner.recent.clear()
+                breaker.endpoint_breakers.recent_outcomes.clear()
--- a/load_balancer/decisions/client_timeouts.py
+++ b/load_balancer/decisions/client_timeouts.py
@@ -17,17 +17,17 @@
     the rest of the client's time. The configured timeout is not used for this: clients may give the last try
     more time than the first, so that most requests would seem past their objective on arrival.
     """
-    usual_us = request_class.usual_timeout_us
+    expected_timeout_us = request_class.first_try_timeout_us
     votes = request_class.timeout_votes
     timeout_us = event.remaining_timeout_us
-    same = abs(timeout_us - usual_us) <= SAME_TIMEOUT_TOLERANCE * usual_us
+    matches = abs(timeout_us - expected_timeout_us) <= SAME_TIMEOUT_TOLERANCE * expected_timeout_us
     if not event.is_retry:
-        votes += 1 if same else -1
+        votes += 1 if matches else -1
         if votes < 0:
-            usual_us = timeout_us
+            expected_timeout_us = timeout_us
             votes = 1
-            same = True
-        request_class.usual_timeout_us = usual_us
+            matches = True
+        request_class.first_try_timeout_us = expected_timeout_us
         request_class.timeout_votes = votes
-        same = same or clients_mark_retries
-    return 0 if same else max(0, request_class.terms.client_timeout_us - timeout_us)
+        matches = matches or clients_mark_retries
+    return 0 if matches else max(0, request_class.definition.client_timeout_us - timeout_us)
--- a/load_balancer/decisions/concurrency_limit.py
+++ b/load_balancer/decisions/concurrency_limit.py
@@ -62,8 +62,8 @@
         """
         step = max(LIMIT_STEP, min(1.0, 1.0 / self.limit))
         if slow:
-            bounded = min(self.limit, max_in_flight_multiple * (self.in_flight + 1))
-            self.limit = max(MIN_LIMIT, bounded - LIMIT_DECREASE_STEPS * step)
+            capped_limit = min(self.limit, max_in_flight_multiple * (self.in_flight + 1))
+            self.limit = max(MIN_LIMIT, capped_limit - LIMIT_DECREASE_STEPS * step)
             self.has_seen_slow_answer = True
         elif self.in_flight + 1 >= self.limit * LIMIT_IN_USE_SHARE:
             self.limit += step if self.has_seen_slow_answer else 1.0
@@ -75,11 +75,13 @@
         tolerated wait is at least that of a slow answer, as work varies by itself.
         """
         request_class = request.request_class
-        terms = request_class.terms
+        definition = request_class.definition
         unloaded_us = request_class.unloaded_us
-        given_us = request.deadline_us - request.attempts[event.attempt].sent_us
-        slack_us = min(given_us, terms.latency_objective_us) - unloaded_us
-        waited_us = event.latency_us - unloaded_us * request.size
-        share = TOLERATED_WAIT_SHARE + (1.0 - TOLERATED_WAIT_SHARE) * terms.late_weight_share
-        tolerated_us = max(slack_us * share, (SLOW_LATENCY_FACTOR - 1.0) * unloaded_us * request.size)
+        available_us = request.deadline_us - request.attempts[event.attempt].sent_us
+        slack_us = min(available_us, definition.latency_objective_us) - unloaded_us
+        waited_us = event.latency_us - unloaded_us * request.relative_latency
+        share = TOLERATED_WAIT_SHARE + (1.0 - TOLERATED_WAIT_SHARE) * definition.late_weight_share
+        tolerated_us = max(
+            slack_us * share, (SLOW_LATENCY_FACTOR - 1.0) * unloaded_us * request.relative_latency
+        )
         return waited_us > tolerated_us
--- a/load_balancer/decisions/demand.py
+++ b/load_balancer/decisions/demand.py
@@ -31,7 +31,7 @@
             self.interval_us += SMOOTHING_FACTOR * (now_us - self.last_us - self.interval_us)
         self.last_us = now_us
 
-    def per_endpoint_s(self, endpoint_count: int, gateways: int) -> float:
+    def interval_per_endpoint_s(self, endpoint_count: int, gateways: int) -> float:
         """Return the mean time in seconds between two requests at one endpoint, from all gateways."""
         return self.interval_us / 1e6 * endpoint_count / gateways
 
@@ -45,10 +45,10 @@
         served: Those within quota that were served within their latency objective.
         total_within_quota: Sum of `within_quota`.
         total: Sum of both.
-        changes: Changes so far to these counts or to the unloaded latency of a class.
+        change_count: Changes so far to these counts or to the unloaded latency of a class.
     """
 
-    __slots__ = ("changes", "over_quota", "served", "total", "total_within_quota", "within_quota")
+    __slots__ = ("change_count", "over_quota", "served", "total", "total_within_quota", "within_quota")
 
     def __init__(self) -> None:
         self.within_quota: defaultdict[int, float] = defaultdict(float)
@@ -56,44 +56,44 @@
         self.served: defaultdict[int, float] = defaultdict(float)
         self.total_within_quota = 0.0
         self.total = 0.0
-        self.changes = 0
+        self.change_count = 0
 
     def note_first_try(self, class_id: int, over_quota: bool) -> None:
         """Count a first try; once there are many, halve all counts."""
         (self.over_quota if over_quota else self.within_quota)[class_id] += 1
         self.total_within_quota += not over_quota
         self.total += 1
-        self.changes += 1
+        self.change_count += 1
         if self.total > DEMAND_MEMORY_REQUESTS:
             self._halve()
-            self._add_up()
+            self._update_totals()
 
     def note_served(self, class_id: int) -> None:
         """Count a first try that was served in time."""
         self.served[class_id] += 1
-        self.changes += 1
+        self.change_count += 1
 
     def note_latency_change(self) -> None:
         """Count a change to the unloaded latency of a class, by which work is measured."""
-        self.changes += 1
+        self.change_count += 1
 
     def retain(self, classes: Mapping[int, ClassState]) -> None:
         """Drop the counts of all classes but these."""
         for counts in (self.within_quota, self.over_quota, self.served):
             for class_id in counts.keys() - classes.keys():
                 del counts[class_id]
-        self._add_up()
+        self._update_totals()
 
     def _halve(self) -> None:
         for counts in (self.within_quota, self.over_quota, self.served):
             for class_id, count in list(counts.items()):
                 counts[class_id] = count / 2
         for class_id in self.within_quota.keys() | self.over_quota.keys():
-            left = self.within_quota.get(class_id, 0.0) + self.over_quota.get(class_id, 0.0)
-            if left < FORGOTTEN_REQUESTS:
+            remaining = self.within_quota.get(class_id, 0.0) + self.over_quota.get(class_id, 0.0)
+            if remaining < FORGOTTEN_REQUESTS:
                 for counts in (self.within_quota, self.over_quota, self.served):
                     counts.pop(class_id, None)
 
-    def _add_up(self) -> None:
+    def _update_totals(self) -> None:
         self.total_within_quota = sum(self.within_quota.values())
         self.total = self.total_within_quota + sum(self.over_quota.values())
--- a/load_balancer/decisions/dispatcher.py
+++ b/load_balancer/decisions/dispatcher.py
@@ -65,9 +65,12 @@
         if endpoint is None:
             return False
         now_us = self._context.now_us
-        all_requests, own = breakers_for(endpoint, request.breaker_key)
-        trials_of = (all_requests.take_trial() if all_requests else 0, own.take_trial() if own else 0)
-        attempt = Attempt(endpoint, now_us, trials_of)
+        endpoint_breaker, class_breaker = breakers_for(endpoint, request.breaker_key)
+        trial_periods = (
+            endpoint_breaker.acquire_trial() if endpoint_breaker else 0,
+            class_breaker.acquire_trial() if class_breaker else 0,
+        )
+        attempt = Attempt(endpoint, now_us, trial_periods)
         request.attempts.append(attempt)
         request.in_flight += 1
         endpoint.in_flight[attempt] = now_us
@@ -86,7 +89,7 @@
             if not attempt.ended and number != kept_attempt:
                 self._actions.append(Cancel(request.id, number))
 
-    def release(self, request: Request, attempt: Attempt, outcome: Outcome) -> None:
+    def mark_ended(self, request: Request, attempt: Attempt, outcome: Outcome) -> None:
         """Mark an attempt as ended, and count one less in flight."""
         attempt.ended = True
         may_have_run_if_rejected = request.settings_version.settings.rejected_may_have_run
--- a/load_balancer/decisions/endpoint_list.py
+++ b/load_balancer/decisions/endpoint_list.py
@@ -35,30 +35,30 @@
         self.by_rank: list[EndpointState] = []
 
     @property
-    def any_closed(self) -> bool:
+    def any_breaker_closed(self) -> bool:
         """Whether the breaker of all requests is closed at any endpoint."""
-        return self._registry.not_closed_endpoints < len(self.by_id)
+        return self._registry.not_closed_endpoint_count < len(self.by_id)
 
     @property
-    def held_requests(self) -> float:
+    def estimated_in_flight(self) -> float:
         """Requests that all endpoints hold, by how far load-dependent weights are below the full ones."""
         return sum(
             self._full_weights[state.endpoint.kind] / max(MIN_WEIGHT, state.endpoint.weight) - 1.0
             for state in self.by_id.values()
         )
 
-    def cooldown_left_us(self, key: int, now_us: int) -> int:
+    def remaining_cooldown_us(self, key: int, now_us: int) -> int:
         """Return the shortest cooldown left for a breaker key; 0 where no breaker is open at an endpoint."""
         if self._registry.open_count < len(self.by_id):
             return 0  # fewer breakers are open than there are endpoints
         cooldowns = []
         for endpoint in self.by_id.values():
-            until = [
+            cooldown_ends_us = [
                 breaker.open_until_us
                 for breaker in breakers_for(endpoint, key)
                 if breaker and breaker.state is BreakerState.OPEN
             ]
-            cooldowns.append(max(until, default=now_us) - now_us)
+            cooldowns.append(max(cooldown_ends_us, default=now_us) - now_us)
         return min(cooldowns, default=0)
 
     def apply(
@@ -74,18 +74,18 @@
         """
         removed: list[EndpointState] = []
         if event.kind is not ListKind.DELTA:
-            listed = {endpoint.id for endpoint in event.endpoints}
-            removed = [self._remove(endpoint_id) for endpoint_id in self.by_id.keys() - listed]
+            listed_ids = {endpoint.id for endpoint in event.endpoints}
+            removed = [self._remove(endpoint_id) for endpoint_id in self.by_id.keys() - listed_ids]
         added: list[EndpointState] = []
         for endpoint in event.endpoints:
-            listed_before = self.by_id.get(endpoint.id)
+            previous = self.by_id.get(endpoint.id)
             gone = endpoint.status is EndpointStatus.GONE
-            restarted = listed_before is not None and listed_before.endpoint.started_us != endpoint.started_us
-            if listed_before is not None and (gone or restarted):
+            restarted = previous is not None and previous.endpoint.started_us != endpoint.started_us
+            if previous is not None and (gone or restarted):
                 removed.append(self._remove(endpoint.id))
-            elif listed_before is not None:
-                listed_before.endpoint = endpoint
-            if not gone and (listed_before is None or restarted):
+            elif previous is not None:
+                previous.endpoint = endpoint
+            if not gone and (previous is None or restarted):
                 added.append(self.add(endpoint, now_us, max_initial_work_us, settings))
             full_weight = self._full_weights.get(endpoint.kind, MIN_WEIGHT)
             self._full_weights[endpoint.kind] = max(endpoint.weight, full_weight)
@@ -123,5 +123,5 @@
 
     def _remove(self, endpoint_id: int) -> EndpointState:
         state = self.by_id.pop(endpoint_id)
-        state.retire()
+        state.detach()
         return state
--- a/load_balancer/decisions/endpoint_state.py
+++ b/load_balancer/decisions/endpoint_state.py
@@ -22,7 +22,7 @@
     Attributes:
         endpoint: Where it was sent.
         sent_us: When it was sent.
-        trials_of: Half-open spells that it is a trial of, for each of the breakers from `breakers_for`.
+        trial_periods: Half-open spells that it is a trial of, for each of the breakers from `breakers_for`.
         ended: Whether its outcome is known.
         may_have_run: Whether the endpoint may have executed it.
         overdue: Whether it should have been answered by now.
@@ -30,7 +30,7 @@
 
     endpoint: EndpointState
     sent_us: int
-    trials_of: tuple[int, int]
+    trial_periods: tuple[int, int]
     ended: bool = False
     may_have_run: bool = True
     overdue: bool = False
@@ -104,16 +104,16 @@
         self._weight = weight
 
     @property
-    def is_closed(self) -> bool:
+    def is_breaker_closed(self) -> bool:
         """Whether the breaker of all requests is closed."""
         breaker = self.breakers.get(ALL_REQUESTS)
         return breaker is None or breaker.state is BreakerState.CLOSED
 
-    def retire(self) -> None:
+    def detach(self) -> None:
         """Leave the totals over all endpoints, as this one is listed no more."""
         self._weight_total.replace(self._weight, 0.0)
         self._weight_total = WeightTotal()
-        self.breakers.retire()
+        self.breakers.detach()
 
 
 def breakers_for(endpoint: EndpointState, key: int) -> tuple[CircuitBreaker | None, CircuitBreaker | None]:
--- a/load_balancer/decisions/latency.py
+++ b/load_balancer/decisions/latency.py
@@ -23,36 +23,36 @@
 
     Attributes:
         class_id: Id of the class in the settings' versions.
-        terms: The class as the settings state it.
-        owner: The classes of the version in force; None once this class is none of them.
+        definition: The class as the settings state it.
+        current_classes: The classes of the version in force; None once this class is none of them.
         unloaded_us: Estimated latency where nothing waits.
-        answers: Good answers so far.
+        answer_count: Good answers so far.
         mean_work_us: Smoothed work of the hints; 0 before the first.
-        usual_timeout_us: The timeout that clients give a first try.
+        first_try_timeout_us: The timeout that clients give a first try.
         timeout_votes: Votes for that by majority vote over the requests.
     """
 
     __slots__ = (
         "_smoothed_us",
-        "answers",
+        "answer_count",
         "class_id",
+        "current_classes",
+        "definition",
+        "first_try_timeout_us",
         "mean_work_us",
-        "owner",
-        "terms",
         "timeout_votes",
         "unloaded_us",
-        "usual_timeout_us",
     )
 
-    def __init__(self, class_id: int, terms: RequestClass) -> None:
+    def __init__(self, class_id: int, definition: RequestClass) -> None:
         self.class_id = class_id
-        self.terms = terms
-        self.owner: RequestClasses | None = None
-        self._smoothed_us = terms.latency_objective_us / 4
-        self.unloaded_us = terms.latency_objective_us / 4
-        self.answers = 0
+        self.definition = definition
+        self.current_classes: RequestClasses | None = None
+        self._smoothed_us = definition.latency_objective_us / 4
+        self.unloaded_us = definition.latency_objective_us / 4
+        self.answer_count = 0
         self.mean_work_us = 0.0
-        self.usual_timeout_us = terms.client_timeout_us
+        self.first_try_timeout_us = definition.client_timeout_us
         self.timeout_votes = 0
 
     @property
@@ -62,16 +62,16 @@
 
     @smoothed_us.setter
     def smoothed_us(self, value: float) -> None:
-        before, self._smoothed_us = self._smoothed_us, value
-        owner = self.owner
-        if owner is None:
+        previous_us, self._smoothed_us = self._smoothed_us, value
+        current_classes = self.current_classes
+        if current_classes is None:
             return
-        if value > owner.slowest.smoothed_us:
-            owner.slowest = self
-        elif self is owner.slowest and value < before:
-            owner.slowest = max(owner, key=attrgetter("_smoothed_us"))
+        if value > current_classes.slowest.smoothed_us:
+            current_classes.slowest = self
+        elif self is current_classes.slowest and value < previous_us:
+            current_classes.slowest = max(current_classes, key=attrgetter("_smoothed_us"))
 
-    def learn_latency(self, latency_us: float) -> None:
+    def add_latency_sample(self, latency_us: float) -> None:
         """Update the estimates with the latency of a good answer, for work of the usual size.
 
         The unloaded latency starts high and follows the first answers faster, or else a gateway that has just
@@ -80,11 +80,11 @@
         """
         self.smoothed_us += SMOOTHING_FACTOR * (latency_us - self.smoothed_us)
         unloaded_us = self.unloaded_us
-        self.answers += 1
-        share = max(UNLOADED_DECREASE_SHARE, 1.0 / (MIN_ANSWERS + self.answers))
+        self.answer_count += 1
+        share = max(UNLOADED_DECREASE_SHARE, 1.0 / (MIN_ANSWERS + self.answer_count))
         self.unloaded_us += share * min(0.0, latency_us - unloaded_us) + UNLOADED_INCREASE_SHARE * unloaded_us
 
-    def learn_work(self, work_us: int) -> float:
+    def add_work_hint(self, work_us: int) -> float:
         """Update the mean work with a hint; returns the request's latency relative to its class's."""
         mean_us = self.mean_work_us or float(work_us)
         self.mean_work_us = mean_us + SMOOTHING_FACTOR * (work_us - mean_us)
@@ -101,13 +101,14 @@
 
     def __init__(self, version: SettingsVersion, previous: Mapping[int, ClassState]) -> None:
         """Reuse the states in `previous`, by id, whose ids the version still has."""
-        terms_by_id = zip(version.class_ids, version.settings.classes, strict=True)
+        definitions_by_id = zip(version.class_ids, version.settings.classes, strict=True)
         super().__init__(
-            previous.get(class_id) or ClassState(class_id, terms) for class_id, terms in terms_by_id
+            previous.get(class_id) or ClassState(class_id, definition)
+            for class_id, definition in definitions_by_id
         )
         self.by_id = {state.class_id: state for state in self}
         for state in previous.values():
-            state.owner = None
+            state.current_classes = None
         for state in self:
-            state.owner = self
+            state.current_classes = self
         self.slowest = max(self, key=attrgetter("_smoothed_us"))
--- a/load_balancer/decisions/list_polling.py
+++ b/load_balancer/decisions/list_polling.py
@@ -39,18 +39,18 @@
         if kind is ListKind.CACHED and not settings.endpoints_are_pushed:
             # If many gateways started and called together, most calls would be rejected.
             interval_us = settings.max_poll_interval_us * FIRST_CALL_INTERVAL_SHARE
-            self._call_after(self._random.random() * min(MAX_FIRST_CALL_DELAY_US, interval_us))
+            self._subscribe_after(self._random.random() * min(MAX_FIRST_CALL_DELAY_US, interval_us))
         else:
             self.failures = 0
 
     def note_failure(self) -> None:
         """Call again after a wait that grows with each failure."""
         self.failures += 1
-        first_us = min(MAX_POLL_BACKOFF_US / 4, self._context.settings.max_poll_interval_us / 20)
-        wait_us = min(MAX_POLL_BACKOFF_US, first_us * 2 ** min(self.failures - 1, 3))
-        self._call_after(wait_us * self._random.uniform(0.5, 1.0))
+        first_backoff_us = min(MAX_POLL_BACKOFF_US / 4, self._context.settings.max_poll_interval_us / 20)
+        wait_us = min(MAX_POLL_BACKOFF_US, first_backoff_us * 2 ** min(self.failures - 1, 3))
+        self._subscribe_after(wait_us * self._random.uniform(0.5, 1.0))
 
-    def _call_after(self, delay_us: float) -> None:
+    def _subscribe_after(self, delay_us: float) -> None:
         self._timers.set(self._context.now_us + int(delay_us), self._subscribe)
 
     def _subscribe(self) -> None:
--- a/load_balancer/decisions/ordered_keys.py
+++ b/load_balancer/decisions/ordered_keys.py
@@ -29,7 +29,7 @@
         Returns:
             None if it may be sent at once, else the earliest time at which it may be.
         """
-        if request.key is None or not request.request_class.terms.ordered:
+        if request.key is None or not request.request_class.definition.ordered:
             return None
         queue = request.key_queue = self.queues.setdefault(request.key, KeyQueue(request.key))
         queue.requests.append(request)
--- a/load_balancer/decisions/outliers.py
+++ b/load_balancer/decisions/outliers.py
@@ -26,26 +26,26 @@
 from load_balancer.decisions.weight_controller import next_weight
 
 
-def is_class_or_tenant_specific(recent: list[tuple[int, bool]], key: int) -> bool:
+def is_class_or_tenant_specific(recent_outcomes: list[tuple[int, bool]], key: int) -> bool:
     """Return whether an endpoint's failures concern one class or tenant alone.
 
     Otherwise a limit on one tenant would eject the endpoint and lower its weight for all the others.
 
     Args:
-        recent: Breaker key and failure of the endpoint's last outcomes.
+        recent_outcomes: Breaker key and failure of the endpoint's last outcomes.
         key: The breaker key of the request that failed.
     """
-    for same in (_is_same_class, _is_same_tenant):
-        own_failures = others = 0
-        for other_key, failed in recent:
-            if same(other_key, key):
+    for is_same in (_is_same_class, _is_same_tenant):
+        own_failures = other_successes = 0
+        for other_key, failed in recent_outcomes:
+            if is_same(other_key, key):
                 own_failures += failed
             elif failed:
                 break  # the others' requests fail too
             else:
-                others += 1
+                other_successes += 1
         else:
-            if own_failures >= HALF_OPEN_TRIALS and others >= MINIMUM_OUTCOMES:
+            if own_failures >= HALF_OPEN_TRIALS and other_successes >= MINIMUM_OUTCOMES:
                 return True
     return False
 
@@ -80,24 +80,24 @@
         short_timeout = outcome is Outcome.TIMEOUT and event.latency_us < slow_us
         cancelled = outcome is Outcome.CANCELLED and not attempt.overdue
         if short_timeout or outcome is Outcome.NOT_SENT or cancelled:
-            for breaker, trial_of in zip(
-                breakers_for(endpoint, request.breaker_key), attempt.trials_of, strict=True
+            for breaker, trial_period in zip(
+                breakers_for(endpoint, request.breaker_key), attempt.trial_periods, strict=True
             ):
                 if breaker is not None:
-                    breaker.release_trial(trial_of)
+                    breaker.release_trial(trial_period)
             if short_timeout:
                 self._limit.adjust(request, event)  # not the endpoint's fault, but all may be overloaded
             return
         failed = outcome is not Outcome.OK
         slow = not failed and event.latency_us / max(1.0, request.expected_us) > SLOW_LATENCY_FACTOR
         if not failed:
-            request.request_class.learn_latency(event.latency_us / request.size)
+            request.request_class.add_latency_sample(event.latency_us / request.relative_latency)
             self._demand.note_latency_change()
-        recent = endpoint.breakers.recent
-        recent.append((request.breaker_key, failed))
-        del recent[: -2 * RING_SIZE]
-        specific = failed and is_class_or_tenant_specific(recent, request.breaker_key)
-        if endpoint.is_closed and not specific:  # else the endpoint keeps the weight it had
+        recent_outcomes = endpoint.breakers.recent_outcomes
+        recent_outcomes.append((request.breaker_key, failed))
+        del recent_outcomes[: -2 * RING_SIZE]
+        specific = failed and is_class_or_tenant_specific(recent_outcomes, request.breaker_key)
+        if endpoint.is_breaker_closed and not specific:  # else the endpoint keeps the weight it had
             endpoint.weight = next_weight(endpoint.weight, failed or slow)
         self._limit.adjust(request, event)
         self._record_in_breakers(request, attempt, failed, specific, now_us)
@@ -106,27 +106,27 @@
         self, request: Request, attempt: Attempt, failed: bool, specific: bool, now_us: int
     ) -> None:
         endpoint = attempt.endpoint
-        for key, trial_of in zip((ALL_REQUESTS, request.breaker_key), attempt.trials_of, strict=True):
+        for key, trial_period in zip((ALL_REQUESTS, request.breaker_key), attempt.trial_periods, strict=True):
             breaker = endpoint.breakers[key]
             share = self._registry.failure_share(key, breaker) if failed else 0.0
             if specific and key == ALL_REQUESTS:
                 share = 1.0  # only a ring of failures alone opens it
-            changed = breaker.record(now_us, failed, trial_of, share)
-            if changed is not None:
-                self._log_change(breaker, endpoint, request, changed, now_us)
+            new_state = breaker.record(now_us, failed, trial_period, share)
+            if new_state is not None:
+                self._log_change(breaker, endpoint, request, new_state, now_us)
 
     def _log_change(
         self,
         breaker: CircuitBreaker,
         endpoint: EndpointState,
         request: Request,
-        changed: BreakerState,
+        new_state: BreakerState,
         now_us: int,
     ) -> None:
         fields: dict[str, object] = {"endpoint_id": endpoint.endpoint.id, "request_id": request.id}
         if breaker.key != ALL_REQUESTS:
             class_id, tenant_id = split_breaker_key(breaker.key)
             fields |= {"request_class": class_id, "tenant": tenant_id}
-        if changed is BreakerState.OPEN:
+        if new_state is BreakerState.OPEN:
             fields["cooldown_s"] = breaker.cooldown_us / 1e6
-        self._log.write(now_us, "circuit_breaker.changed", state=changed.value, **fields)
+        self._log.write(now_us, "circuit_breaker.changed", state=new_state.value, **fields)
--- a/load_balancer/decisions/picker.py
+++ b/load_balancer/decisions/picker.py
@@ -17,7 +17,7 @@
 from load_balancer.decisions.rendezvous import rendezvous_rank
 from load_balancer.decisions.request import Request
 from load_balancer.decisions.settings import Idempotency
-from load_balancer.decisions.slow_start import capacity_share, has_room
+from load_balancer.decisions.slow_start import capacity_share, fits_budget
 
 ERROR_SHARE_UNIT = 0.1  # share of an endpoint's usual requests that fail: it weighs like one in flight
 KEY_AFFINITY_BOOST = 20.0  # factor on the weight of a key's home: it gets most of the key's requests, not all
@@ -25,14 +25,14 @@
 WeightedEndpoints = list[tuple[float, EndpointState]]
 
 
-def boost_key_home(key: int, weighted: WeightedEndpoints) -> float:
+def boost_preferred_endpoint(key: int, weighted: WeightedEndpoints) -> float:
     """Raise the weight of the candidate that a key ranks first; returns by how much."""
     ranks = [rendezvous_rank(key, endpoint.endpoint.id, 1.0) for _, endpoint in weighted]
-    home = ranks.index(min(ranks))
-    weight, endpoint = weighted[home]
-    added = weight * (KEY_AFFINITY_BOOST - 1.0)
-    weighted[home] = (weight + added, endpoint)
-    return added
+    preferred = ranks.index(min(ranks))
+    weight, endpoint = weighted[preferred]
+    increase = weight * (KEY_AFFINITY_BOOST - 1.0)
+    weighted[preferred] = (weight + increase, endpoint)
+    return increase
 
 
 class Picker:
@@ -64,14 +64,14 @@
             overload_budget_us: This gateway's budget for an endpoint in slow start.
         """
         weighted = self._weigh(request, candidates, endpoint_count, overload_budget_us)
-        if request.request_class.terms.idempotency is Idempotency.NON_IDEMPOTENT:
+        if request.request_class.definition.idempotency is Idempotency.NON_IDEMPOTENT:
             # A half-open breaker's trial risks its request, which could not be repeated.
-            weighted = [pair for pair in weighted if pair[1].is_closed] or weighted
+            weighted = [pair for pair in weighted if pair[1].is_breaker_closed] or weighted
         if not weighted:
             return None
         total = sum(weight for weight, _ in weighted)
         if request.settings_version.settings.key_affinity and request.key is not None:
-            total += boost_key_home(request.key, weighted)
+            total += boost_preferred_endpoint(request.key, weighted)
         point = self._random.random() * total
         for weight, endpoint in weighted:
             point -= weight
@@ -89,20 +89,27 @@
         """Return the candidates that have room, with their weights above 0."""
         now_us = self._context.now_us
         settings = self._context.settings
-        request_interval_s = self._arrivals.per_endpoint_s(endpoint_count, settings.gateways)
+        request_interval_s = self._arrivals.interval_per_endpoint_s(endpoint_count, settings.gateways)
         speed_factor = self._reports.speed_factor
         weighted: WeightedEndpoints = []
         for endpoint in candidates:
             share = capacity_share(endpoint, now_us, settings)
-            if share < 1.0 and not has_room(endpoint, request, share, overload_budget_us, now_us, settings):
+            if share < 1.0 and not fits_budget(
+                endpoint, request, share, overload_budget_us, now_us, settings
+            ):
                 continue
             age_factor = report_age_factor(endpoint, now_us)
-            free = 1.0 / (1.0 + len(endpoint.in_flight) + endpoint.queue_length * age_factor) ** 2
+            load_factor = 1.0 / (1.0 + len(endpoint.in_flight) + endpoint.queue_length * age_factor) ** 2
             errors = endpoint.errors_per_s * age_factor * request_interval_s
-            free /= (1.0 + errors / ERROR_SHARE_UNIT) ** 2
-            listed = endpoint.endpoint
-            base = listed.weight * speed_factor(endpoint) * zone_factor(listed.zone, settings) * share
-            weight = base * endpoint.weight * free
+            load_factor /= (1.0 + errors / ERROR_SHARE_UNIT) ** 2
+            listed_endpoint = endpoint.endpoint
+            base_weight = (
+                listed_endpoint.weight
+                * speed_factor(endpoint)
+                * zone_factor(listed_endpoint.zone, settings)
+                * share
+            )
+            weight = base_weight * endpoint.weight * load_factor
             if weight > 0.0:
                 weighted.append((weight, endpoint))
         return weighted
--- a/load_balancer/decisions/quotas.py
+++ b/load_balancer/decisions/quotas.py
@@ -13,16 +13,18 @@
     """The remaining quota of each tenant.
 
     Attributes:
-        left_by_tenant: By tenant id, the requests left and when that was, in microseconds, the oldest first.
-            A tenant without an entry has its whole burst left.
+        remaining_by_tenant: By tenant id, the requests left and when that was, in microseconds, the oldest
+            first. A tenant without an entry has its whole burst left.
     """
 
-    __slots__ = ("left_by_tenant",)
+    __slots__ = ("remaining_by_tenant",)
 
     def __init__(self) -> None:
-        self.left_by_tenant: OrderedDict[int, tuple[float, int]] = OrderedDict()
+        self.remaining_by_tenant: OrderedDict[int, tuple[float, int]] = OrderedDict()
 
-    def is_over(self, tenant_index: int, first_try: bool, now_us: int, version: SettingsVersion) -> bool:
+    def is_over_quota(
+        self, tenant_index: int, is_first_try: bool, now_us: int, version: SettingsVersion
+    ) -> bool:
         """Return whether a request is beyond its tenant's quota; a first try within it uses it up."""
         settings = version.settings
         if not settings.tenants:
@@ -31,19 +33,19 @@
         if not quota_per_s:
             return False
         tenant_id = version.tenant_ids[tenant_index]
-        left = self._left(tenant_id, now_us, quota_per_s)
-        over = left < 1.0
-        self._store(tenant_id, now_us, left - (first_try and not over))
+        remaining = self._remaining(tenant_id, now_us, quota_per_s)
+        over = remaining < 1.0
+        self._store(tenant_id, now_us, remaining - (is_first_try and not over))
         return over
 
-    def _left(self, tenant_id: int, now_us: int, quota_per_s: float) -> float:
+    def _remaining(self, tenant_id: int, now_us: int, quota_per_s: float) -> float:
         burst = quota_per_s * QUOTA_BURST_S
-        left, at_us = self.left_by_tenant.get(tenant_id, (burst, now_us))
-        return min(burst, left + quota_per_s * (now_us - at_us) / 1e6)
+        remaining, updated_us = self.remaining_by_tenant.get(tenant_id, (burst, now_us))
+        return min(burst, remaining + quota_per_s * (now_us - updated_us) / 1e6)
 
-    def _store(self, tenant_id: int, now_us: int, left: float) -> None:
+    def _store(self, tenant_id: int, now_us: int, remaining: float) -> None:
         """Store the requests left, and drop entries so old that their buckets are full again."""
-        self.left_by_tenant[tenant_id] = (left, now_us)
-        self.left_by_tenant.move_to_end(tenant_id)
-        while now_us - next(iter(self.left_by_tenant.values()))[1] > QUOTA_BURST_S * 1e6:
-            self.left_by_tenant.popitem(last=False)
+        self.remaining_by_tenant[tenant_id] = (remaining, now_us)
+        self.remaining_by_tenant.move_to_end(tenant_id)
+        while now_us - next(iter(self.remaining_by_tenant.values()))[1] > QUOTA_BURST_S * 1e6:
+            self.remaining_by_tenant.popitem(last=False)
--- a/load_balancer/decisions/request.py
+++ b/load_balancer/decisions/request.py
@@ -39,16 +39,17 @@
         key: Affinity key, None without one.
         deadline_us: When its client gives up.
         objective_us: When its latency objective is over.
-        size: Expected latency over the usual one of its class.
+        relative_latency: Expected latency over the usual one of its class.
         work_us: Work as hinted, None without a hint.
-        first_try: Whether the client has not sent it before.
+        is_first_try: Whether the client has not sent it before.
         over_quota: Whether it is beyond its tenant's quota.
         key_queue: The queue of its key, for ordered classes.
         attempts: All its attempts, in the order sent.
         in_flight: Attempts without an outcome.
-        done: Whether it has had its final answer.
+        answered: Whether it has had its final answer.
         streaming: Whether a streamed answer has begun.
-        moving: Whether an overdue attempt was cancelled for another, whose retry token has been withdrawn.
+        replacing_attempt: Whether an overdue attempt was cancelled for another, whose retry token has been
+            withdrawn.
     """
 
     id: str
@@ -58,26 +59,26 @@
     key: int | None
     deadline_us: int
     objective_us: int
-    size: float
+    relative_latency: float
     work_us: int | None
-    first_try: bool
+    is_first_try: bool
     over_quota: bool
     key_queue: KeyQueue | None = None
     attempts: list[Attempt] = field(default_factory=list)
     in_flight: int = 0
-    done: bool = False
+    answered: bool = False
     streaming: bool = False
-    moving: bool = False
+    replacing_attempt: bool = False
 
     @property
     def expected_us(self) -> float:
         """Expected latency of an attempt."""
-        return self.request_class.smoothed_us * self.size
+        return self.request_class.smoothed_us * self.relative_latency
 
     @property
     def unloaded_us(self) -> float:
         """Estimated latency of an attempt where nothing waits."""
-        return self.request_class.unloaded_us * self.size
+        return self.request_class.unloaded_us * self.relative_latency
 
     @property
     def may_have_run(self) -> bool:
@@ -86,6 +87,6 @@
 
     def wait_until_us(self, now_us: int) -> int:
         """Return when an attempt that is sent now stops being worth waiting for."""
-        if self.request_class.terms.late_weight_share > 0.0:
+        if self.request_class.definition.late_weight_share > 0.0:
             return self.deadline_us
         return min(self.deadline_us, now_us + int(OBJECTIVE_WAIT_SHARE * (self.objective_us - now_us)))
--- a/load_balancer/decisions/request_intake.py
+++ b/load_balancer/decisions/request_intake.py
@@ -28,16 +28,16 @@
         self._demand = demand
         self._retry_budget = retry_budget
 
-    def accept(
+    def create_request(
         self, event: RequestArrived, now_us: int, request_class: ClassState, version: SettingsVersion
     ) -> Request:
         """Return the record of a request that has just arrived."""
         elapsed_us = elapsed_before_arrival_us(event, request_class, version.settings.clients_mark_retries)
-        first_try = not event.is_retry and elapsed_us == 0
+        is_first_try = not event.is_retry and elapsed_us == 0
         tenant = tenant_index(event, version)
-        over_quota = self._quotas.is_over(tenant, first_try, now_us, version)
-        size = request_class.learn_work(event.work_us) if event.work_us else 1.0
-        if first_try:
+        over_quota = self._quotas.is_over_quota(tenant, is_first_try, now_us, version)
+        relative_latency = request_class.add_work_hint(event.work_us) if event.work_us else 1.0
+        if is_first_try:
             self._retry_budget.note_first_try()
             self._demand.note_first_try(request_class.class_id, over_quota)
         return Request(
@@ -47,9 +47,9 @@
             breaker_key=breaker_key(request_class.class_id, version.tenant_ids[tenant]),
             key=event.key,
             deadline_us=now_us + event.remaining_timeout_us,
-            objective_us=now_us + max(0, request_class.terms.latency_objective_us - elapsed_us),
-            size=size,
+            objective_us=now_us + max(0, request_class.definition.latency_objective_us - elapsed_us),
+            relative_latency=relative_latency,
             work_us=event.work_us,
-            first_try=first_try,
+            is_first_try=is_first_try,
             over_quota=over_quota,
         )
--- a/load_balancer/decisions/request_lifecycle.py
+++ b/load_balancer/decisions/request_lifecycle.py
@@ -62,12 +62,12 @@
 
     def start(self, request: Request) -> None:
         """Send a request that has been admitted, or let it wait for its turn."""
-        if not (self._wait_for_turn(request) or self._send(request)):
+        if not (self._enqueue_if_ordered(request) or self._send(request)):
             self.answer_unserved(request)
 
     def answer_unserved(self, request: Request) -> None:
         """Answer a request that gets no (further) attempt: reject it where a retry is safe, else fail it."""
-        if request.done:
+        if request.answered:
             return
         if may_reject(request):
             self._actions.append(Reject(request.id, self._retry_after_us(request)))
@@ -77,9 +77,9 @@
 
     def finish(self, request: Request) -> None:
         """Note that a request has had its final answer, and cancel its attempts in flight."""
-        request.done = True
+        request.answered = True
         if request.in_flight == 0:
-            self._forget(request)
+            self._remove(request)
         elif not request.streaming:
             self._dispatcher.cancel(request)
 
@@ -90,7 +90,7 @@
 
     def end_attempt(self, request: Request, attempt: Attempt, outcome: Outcome) -> None:
         """Mark an attempt as ended; delay its ordered key if it may still be running."""
-        self._dispatcher.release(request, attempt, outcome)
+        self._dispatcher.mark_ended(request, attempt, outcome)
         queue = request.key_queue
         if queue is not None and outcome in MAY_STILL_EXECUTE:
             delay_us = request.settings_version.settings.ordered_key_delay_us
@@ -100,9 +100,9 @@
 
     def after_attempt(self, request: Request, event: AttemptEnded) -> None:
         """Finish or retry a request after one of its attempts has ended."""
-        if request.done:
+        if request.answered:
             if request.in_flight == 0:
-                self._forget(request)
+                self._remove(request)
         elif event.finished or event.outcome is Outcome.OK:
             self.finish(request)
         elif request.in_flight == 0:
@@ -119,7 +119,7 @@
         if not self._dispatcher.send(request):
             return False
         overdue_us = self._context.now_us + int(OVERDUE_LATENCY_FACTOR * request.expected_us)
-        idempotency = request.request_class.terms.idempotency
+        idempotency = request.request_class.definition.idempotency
         if idempotency is not Idempotency.NON_IDEMPOTENT and overdue_us < request.deadline_us:
             self._timers.set(overdue_us, partial(self._on_overdue, request))
         return True
@@ -130,15 +130,15 @@
         if reaction is OverdueReaction.HEDGE:
             if self._send(request):
                 self._retry_budget.withdraw()
-        elif reaction is OverdueReaction.MOVE and self._dispatcher.pick(request) is not None:
-            request.moving = True
+        elif reaction is OverdueReaction.REPLACE and self._dispatcher.pick(request) is not None:
+            request.replacing_attempt = True
             self._retry_budget.withdraw()
             self._dispatcher.cancel(request)
 
     def _retry(self, request: Request) -> None:
         """After the last attempt in flight has failed, send another one or give the final answer."""
-        moving, request.moving = request.moving, False
-        needs_token = request.may_have_run and not moving
+        replacing_attempt, request.replacing_attempt = request.replacing_attempt, False
+        needs_token = request.may_have_run and not replacing_attempt
         shed_share = self._admission.shed_share
         now_us = self._context.now_us
         may_retry = self._retry_budget.may_retry(request, needs_token, now_us, shed_share)
@@ -147,7 +147,7 @@
         elif needs_token:
             self._retry_budget.withdraw()
 
-    def _wait_for_turn(self, request: Request) -> bool:
+    def _enqueue_if_ordered(self, request: Request) -> bool:
         """Queue a request of an ordered class; False if it may be sent at once.
 
         A request that could not be served in time after those before it is rejected at once, while its client
@@ -162,10 +162,10 @@
         if ready_us + min_latency_us > wait_until_us:
             self.answer_unserved(request)
         else:
-            self._timers.set(wait_until_us - min_latency_us, partial(self._stop_waiting, request))
+            self._timers.set(wait_until_us - min_latency_us, partial(self._on_queue_timeout, request))
         return True
 
-    def _stop_waiting(self, request: Request) -> None:
+    def _on_queue_timeout(self, request: Request) -> None:
         if not request.attempts:
             self.answer_unserved(request)
 
@@ -180,11 +180,11 @@
     def _retry_after_us(self, request: Request) -> int:
         """Return the shortest cooldown left, or the time until shedding may end if that is longer."""
         wait_us = max(
-            self._endpoints.cooldown_left_us(request.breaker_key, self._context.now_us),
-            self._admission.shedding_left_us(),
+            self._endpoints.remaining_cooldown_us(request.breaker_key, self._context.now_us),
+            self._admission.remaining_shedding_us(),
         )
         return max(0, min(wait_us, request.settings_version.settings.max_retry_after_us))
 
-    def _forget(self, request: Request) -> None:
+    def _remove(self, request: Request) -> None:
         self.requests.pop(request.id, None)
         self.ordered_keys.remove(request)
--- a/load_balancer/decisions/retries.py
+++ b/load_balancer/decisions/retries.py
@@ -16,24 +16,24 @@
 
     WAIT = "wait"
     HEDGE = "hedge"  # send a second attempt beside the first
-    MOVE = "move"  # cancel the attempt and send another one once it has ended
+    REPLACE = "replace"  # cancel the attempt and send another one once it has ended
 
 
 def may_repeat(request: Request) -> bool:
     """Return whether a further attempt cannot have the effect a second time."""
     return not request.may_have_run or (
-        request.request_class.terms.idempotency is not Idempotency.NON_IDEMPOTENT
+        request.request_class.definition.idempotency is not Idempotency.NON_IDEMPOTENT
     )
 
 
 def may_reject(request: Request) -> bool:
     """Return whether the request may be rejected, which tells its client that a retry is safe."""
-    terms = request.request_class.terms
-    if not request.may_have_run or terms.idempotency is Idempotency.IDEMPOTENT:
+    definition = request.request_class.definition
+    if not request.may_have_run or definition.idempotency is Idempotency.IDEMPOTENT:
         return True
     return (
-        terms.idempotency is Idempotency.IDEMPOTENCY_KEY
-        and terms.deduplication_scope is DeduplicationScope.ALL
+        definition.idempotency is Idempotency.IDEMPOTENCY_KEY
+        and definition.deduplication_scope is DeduplicationScope.ALL
     )
 
 
@@ -63,17 +63,19 @@
 
     def react_to_overdue(self, request: Request, shed_share: float) -> OverdueReaction:
         """Mark the attempts in flight as overdue; returns the reaction."""
-        late = [attempt for attempt in request.attempts if not attempt.ended and not request.done]
-        for attempt in late:
+        overdue_attempts = [
+            attempt for attempt in request.attempts if not attempt.ended and not request.answered
+        ]
+        for attempt in overdue_attempts:
             attempt.overdue = True
         settings = request.settings_version.settings
-        if not late or request.streaming or not self.has_token(shed_share):
+        if not overdue_attempts or request.streaming or not self.has_token(shed_share):
             return OverdueReaction.WAIT
         if len(request.attempts) >= settings.max_attempts:
             return OverdueReaction.WAIT
         if settings.may_hedge:
             return OverdueReaction.HEDGE
-        return OverdueReaction.MOVE if settings.may_cancel else OverdueReaction.WAIT
+        return OverdueReaction.REPLACE if settings.may_cancel else OverdueReaction.WAIT
 
     def may_retry(self, request: Request, needs_token: bool, now_us: int, shed_share: float) -> bool:
         """Return whether a request whose attempts have all failed may be retried.
--- a/load_balancer/decisions/slow_start.py
+++ b/load_balancer/decisions/slow_start.py
@@ -22,8 +22,8 @@
     age_us = now_us - started_us
     if age_us >= settings.slow_start_us:
         return 1.0
-    start = settings.slow_start_capacity
-    return start + (1.0 - start) * max(0, age_us) / settings.slow_start_us
+    initial_share = settings.slow_start_capacity
+    return initial_share + (1.0 - initial_share) * max(0, age_us) / settings.slow_start_us
 
 
 def overload_budget_us(subset_size: float, endpoint_count: int, settings: Settings) -> float:
@@ -32,11 +32,11 @@
     The parts of all gateways with the endpoint in their subset add up to the whole. A bucket of half the
     budget that drains half a budget in each window never exceeds the whole budget in any window.
     """
-    users = max(1.0, settings.gateways * min(1.0, subset_size / max(1, endpoint_count)))
-    return OVERLOAD_BUDGET_SHARE * settings.overload_multiple * settings.overload_window_us / users
+    sharing_gateways = max(1.0, settings.gateways * min(1.0, subset_size / max(1, endpoint_count)))
+    return OVERLOAD_BUDGET_SHARE * settings.overload_multiple * settings.overload_window_us / sharing_gateways
 
 
-def has_room(
+def fits_budget(
     endpoint: EndpointState, request: Request, share: float, budget_us: float, now_us: int, settings: Settings
 ) -> bool:
     """Return whether an endpoint in slow start may be sent a request; drains its bucket up to now.
@@ -49,13 +49,13 @@
         now_us: The time.
         settings: The settings in force.
     """
-    half_us = budget_us * share / 2
+    bucket_capacity_us = budget_us * share / 2
     elapsed_us = now_us - endpoint.slow_start_updated_us
-    drained_us = half_us * elapsed_us / settings.overload_window_us
+    drained_us = bucket_capacity_us * elapsed_us / settings.overload_window_us
     endpoint.slow_start_work_us = max(0.0, endpoint.slow_start_work_us - drained_us)
     endpoint.slow_start_updated_us = now_us
     cost_us = estimate_work_us(request)
-    return endpoint.slow_start_work_us + cost_us <= max(half_us, cost_us)
+    return endpoint.slow_start_work_us + cost_us <= max(bucket_capacity_us, cost_us)
 
 
 def charge(endpoint: EndpointState, request: Request, now_us: int, settings: Settings) -> None:
@@ -73,5 +73,5 @@
     if request.work_us:
         return float(request.work_us)
     unloaded_us = request.request_class.unloaded_us
-    longest_us = min(request.request_class.smoothed_us, SLOW_LATENCY_FACTOR * unloaded_us)
-    return (unloaded_us + longest_us) / 2 * request.size
+    capped_us = min(request.request_class.smoothed_us, SLOW_LATENCY_FACTOR * unloaded_us)
+    return (unloaded_us + capped_us) / 2 * request.relative_latency
--- a/load_balancer/decisions/subset.py
+++ b/load_balancer/decisions/subset.py
@@ -20,7 +20,7 @@
 MAX_RETRY_CANDIDATES = 64  # endpoints that the retry of a request with an idempotency key chooses among
 
 
-def is_silent(endpoint: EndpointState, now_us: int, overdue_us: float) -> bool:
+def is_unresponsive(endpoint: EndpointState, now_us: int, overdue_us: float) -> bool:
     """Return whether an attempt sent since the last answer is overdue, so that nothing more may be sent.
 
     An attempt that is overdue while later ones are answered says nothing about its endpoint.
@@ -36,16 +36,16 @@
 
 def is_eligible(endpoint: EndpointState, key: int, now_us: int, overdue_us: float) -> bool:
     """Return whether an endpoint may take a request, by its status, its silence and its breakers."""
-    if endpoint.endpoint.status is not EndpointStatus.READY or is_silent(endpoint, now_us, overdue_us):
+    if endpoint.endpoint.status is not EndpointStatus.READY or is_unresponsive(endpoint, now_us, overdue_us):
         return False
     breaker = endpoint.breakers.get(ALL_REQUESTS)
-    if breaker is not None and not breaker.lets_through(now_us):
+    if breaker is not None and not breaker.allows_attempt(now_us):
         return False
     breaker = endpoint.breakers.get(key)
-    return breaker is None or breaker.lets_through(now_us)
+    return breaker is None or breaker.allows_attempt(now_us)
 
 
-def scope_of(scope: DeduplicationScope, endpoint: EndpointState) -> int:
+def deduplication_scope_number(scope: DeduplicationScope, endpoint: EndpointState) -> int:
     """Return the number of the deduplication scope that an endpoint is in."""
     if scope is DeduplicationScope.ALL:
         return 0
@@ -114,21 +114,25 @@
             settings: The settings in force.
         """
         tried = [attempt.endpoint for attempt in request.attempts]
-        terms = request.request_class.terms
-        ran = [attempt for attempt in request.attempts if attempt.may_have_run]
+        definition = request.request_class.definition
+        possibly_executed = [attempt for attempt in request.attempts if attempt.may_have_run]
         selected = self.select(by_rank, request.breaker_key, now_us, overdue_us, settings)
-        if not ran or terms.idempotency is Idempotency.IDEMPOTENT:
+        if not possibly_executed or definition.idempotency is Idempotency.IDEMPOTENT:
             return [endpoint for endpoint in selected if endpoint not in tried]
-        if terms.idempotency is Idempotency.NON_IDEMPOTENT:
+        if definition.idempotency is Idempotency.NON_IDEMPOTENT:
             return []
-        if now_us - ran[0].sent_us >= terms.deduplication_window_us:
+        if now_us - possibly_executed[0].sent_us >= definition.deduplication_window_us:
             return []
         # The subset may hold no endpoint of the scope in which it may have run, so all are searched.
-        scopes = {scope_of(terms.deduplication_scope, attempt.endpoint) for attempt in ran}
+        scopes = {
+            deduplication_scope_number(definition.deduplication_scope, attempt.endpoint)
+            for attempt in possibly_executed
+        }
         in_scope = (
             (index, endpoint)
             for index, endpoint in enumerate(by_rank)
-            if endpoint not in tried and scopes == {scope_of(terms.deduplication_scope, endpoint)}
+            if endpoint not in tried
+            and scopes == {deduplication_scope_number(definition.deduplication_scope, endpoint)}
         )
         return self._first_eligible(in_scope, request.breaker_key, now_us, overdue_us, settings)
 
--- a/load_balancer/decisions/weight_controller.py
+++ b/load_balancer/decisions/weight_controller.py
@@ -21,9 +21,9 @@
     def __init__(self) -> None:
         self.units = 0
 
-    def replace(self, before: float, after: float) -> None:
+    def replace(self, old_weight: float, new_weight: float) -> None:
         """Change one weight in the sum."""
-        self.units += int(after * WEIGHT_UNIT) - int(before * WEIGHT_UNIT)
+        self.units += int(new_weight * WEIGHT_UNIT) - int(old_weight * WEIGHT_UNIT)
 
     def mean(self, count: int) -> float:
         """Return the mean of so many weights; the largest weight where there are none."""
--- a/tests/decisions/dense_balancer.py
+++ b/tests/decisions/dense_balancer.py
@@ -40,7 +40,7 @@
     def failure_share(self, key: int, excluded: CircuitBreaker | None) -> float:
         others = [s.breakers[key] for s in self.endpoints.by_id.values() if s.breakers[key] is not excluded]
         closed = [b for b in others if b.state is BreakerState.CLOSED]
-        entries = sum(len(b.ring) for b in closed)
+        entries = sum(len(b.window) for b in closed)
         return sum(b.failures for b in closed) / entries if entries else 0.0
 
 
@@ -48,10 +48,10 @@
     """Walks all endpoints for what the sparse one keeps in totals, and sorts them after each list."""
 
     @property
-    def any_closed(self) -> bool:
+    def any_breaker_closed(self) -> bool:
         return any(s.breakers[0].state is BreakerState.CLOSED for s in self.by_id.values())
 
-    def cooldown_left_us(self, key: int, now_us: int) -> int:
+    def remaining_cooldown_us(self, key: int, now_us: int) -> int:
         cooldowns = []
         for endpoint in self.by_id.values():
             opened = [
@@ -90,7 +90,9 @@
         super().__init__()
         self.buckets: dict[int, tuple[float, int]] = {}
 
-    def is_over(self, tenant_index: int, first_try: bool, now_us: int, version: SettingsVersion) -> bool:
+    def is_over_quota(
+        self, tenant_index: int, is_first_try: bool, now_us: int, version: SettingsVersion
+    ) -> bool:
         settings = version.settings
         if not settings.tenants:
             return False
@@ -98,7 +100,7 @@
         left, at_us = self.buckets.get(tenant_index, (quota * QUOTA_BURST_S, 0))
         left = min(quota * QUOTA_BURST_S, left + quota * (now_us - at_us) / 1e6)
         over = quota > 0.0 and left < 1.0
-        self.buckets[tenant_index] = (left - (first_try and not over), now_us)
+        self.buckets[tenant_index] = (left - (is_first_try and not over), now_us)
         return over
 
 
@@ -139,8 +141,8 @@
             for over, counts in ((False, demand.asked), (True, demand.beyond))
             for index in range(len(classes))
         ]
-        self.order = PriorityOrder(demand.changes, graded)
-        self.order.parts = len(demand.within_quota) + len(demand.over_quota)
+        self.priority_order = PriorityOrder(demand.change_count, graded)
+        self.priority_order.part_count = len(demand.within_quota) + len(demand.over_quota)
 
 
 DENSE_PARTS = {
@@ -181,9 +183,9 @@
                 lapsed = now_us - breaker.last_outcome_us > BREAKER_EXPIRY_US
                 if breaker.state is BreakerState.CLOSED and lapsed:
                     self.breakers.remove(breaker)
-                    breaker.ring, breaker.failures = b"", 0
+                    breaker.window, breaker.failures = b"", 0
                     if key == 0:
-                        endpoint.breakers.recent.clear()
-        if self.admission.order.parts <= MAX_EXACT_PARTS:
+                        endpoint.breakers.recent_outcomes.clear()
+        if self.admission.priority_order.part_count <= MAX_EXACT_PARTS:
             self.admission.invalidate_order()
         return super().handle(now_us, event)
--- a/tests/decisions/test_circuit_breaker.py
+++ b/tests/decisions/test_circuit_breaker.py
@@ -24,7 +24,7 @@
 
 def half_open() -> CircuitBreaker:
     breaker = tripped()
-    assert breaker.lets_through(INITIAL_COOLDOWN_US)
+    assert breaker.allows_attempt(INITIAL_COOLDOWN_US)
     return breaker
 
 
@@ -42,38 +42,38 @@
     for _ in range(RING_SIZE):
         breaker.record(0, False, 0, 0.0)
     assert breaker.failures == 0
-    assert len(breaker.ring) == RING_SIZE
+    assert len(breaker.window) == RING_SIZE
 
 
 def test_an_open_breaker_lets_nothing_through_until_the_cooldown_ends() -> None:
     breaker = tripped()
-    assert not breaker.lets_through(INITIAL_COOLDOWN_US - 1)
-    assert breaker.lets_through(INITIAL_COOLDOWN_US)
+    assert not breaker.allows_attempt(INITIAL_COOLDOWN_US - 1)
+    assert breaker.allows_attempt(INITIAL_COOLDOWN_US)
     assert breaker.state is BreakerState.HALF_OPEN
 
 
 def test_a_half_open_breaker_lets_only_its_trials_through() -> None:
     breaker = half_open()
     for _ in range(HALF_OPEN_TRIALS):
-        assert breaker.lets_through(INITIAL_COOLDOWN_US)
-        assert breaker.take_trial() == 1
-    assert not breaker.lets_through(INITIAL_COOLDOWN_US)
+        assert breaker.allows_attempt(INITIAL_COOLDOWN_US)
+        assert breaker.acquire_trial() == 1
+    assert not breaker.allows_attempt(INITIAL_COOLDOWN_US)
 
 
 def test_good_trials_close_and_empty_the_ring() -> None:
     breaker = half_open()
     for _ in range(HALF_OPEN_TRIALS):
-        breaker.take_trial()
+        breaker.acquire_trial()
     results = [breaker.record(INITIAL_COOLDOWN_US, False, 1, 0.0) for _ in range(HALF_OPEN_TRIALS)]
     assert results[-1] is BreakerState.CLOSED
-    assert not breaker.ring
+    assert not breaker.window
     assert breaker.failures == 0
 
 
 def test_bad_trials_reopen_for_longer() -> None:
     breaker = half_open()
     for _ in range(HALF_OPEN_TRIALS):
-        breaker.take_trial()
+        breaker.acquire_trial()
     breaker.record(INITIAL_COOLDOWN_US, True, 1, 0.0)
     assert breaker.record(INITIAL_COOLDOWN_US, True, 1, 0.0) is BreakerState.OPEN
     assert breaker.open_until_us == 3 * INITIAL_COOLDOWN_US
@@ -81,7 +81,7 @@
 
 def test_in_half_open_only_trials_count() -> None:
     breaker = half_open()
-    breaker.take_trial()
+    breaker.acquire_trial()
     for _ in range(RING_SIZE):
         assert breaker.record(INITIAL_COOLDOWN_US, True, 0, 0.0) is None
     assert breaker.state is BreakerState.HALF_OPEN
--- a/tests/decisions/test_settings_version.py
+++ b/tests/decisions/test_settings_version.py
@@ -69,10 +69,10 @@
         driver.end(name, sends(actions)[0].endpoint_id, latency_us=44_000)
     trip(driver.endpoints[0].breakers[breaker_key(2, 1)], driver.now_us)
     pay = driver.classes[2]
-    known = (pay.smoothed_us, pay.unloaded_us, pay.answers, driver.limit.limit)
+    known = (pay.smoothed_us, pay.unloaded_us, pay.answer_count, driver.limit.limit)
     driver.change_settings(replace(BEFORE, classes=(NAMED[2], NAMED[0]), tenants=TENANTS[1:]))
     pay = driver.classes[0]
-    assert (pay.smoothed_us, pay.unloaded_us, pay.answers, driver.limit.limit) == known
+    assert (pay.smoothed_us, pay.unloaded_us, pay.answer_count, driver.limit.limit) == known
     assert driver.balancer.demand.within_quota.keys() == {2}
     for _ in range(20):  # the same kind, now class 0 of tenant 0: endpoint 0 is still open to it
         name, actions = driver.arrive(request_class=0, timeout_us=1_000_000, tenant=0)
@@ -181,6 +181,6 @@
     driver.admission.sort_demand()
     driver.arrive()
     driver.admission.sort_demand()
-    assert driver.admission.order.parts
+    assert driver.admission.priority_order.part_count
     driver.change_settings(replace(BEFORE, classes=NAMED[1:]))
-    assert not driver.admission.order.parts
+    assert not driver.admission.priority_order.part_count
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -51,7 +51,7 @@
                     count += 1
                     driver.end(name, 1, Outcome.ERROR if jammed else Outcome.OK)
                     endpoint = driver.endpoints[1]
-                    endpoint.breakers.retire()
+                    endpoint.breakers.detach()
                     endpoint.breakers = EndpointBreakers(driver.balancer.breakers)
                 driver.now_us += 10_000
             sent.append(count)
--- a/tests/decisions/test_sparse_state.py
+++ b/tests/decisions/test_sparse_state.py
@@ -54,7 +54,7 @@
         name, actions = driver.arrive(tenant=tenant)
         driver.end(name, sends(actions)[0].endpoint_id)
     assert sum(len(s.breakers) for s in driver.endpoints.values()) <= 4
-    assert list(driver.balancer.quotas.left_by_tenant) == [3, 7]
+    assert list(driver.balancer.quotas.remaining_by_tenant) == [3, 7]
     assert len(driver.balancer.demand.within_quota) == 1
 
 
@@ -71,7 +71,7 @@
     assert not driver.balancer.breakers.totals
     assert [len(s.breakers) for s in driver.endpoints.values()] == [0, 0, 1, 0]
     assert driver.endpoints[2].breakers[5].state is BreakerState.OPEN  # an open one never is
-    assert list(driver.balancer.quotas.left_by_tenant) == [0]
+    assert list(driver.balancer.quotas.remaining_by_tenant) == [0]
 
 
 @pytest.mark.parametrize(
