--- a/lab/changes.py
+++ b/lab/changes.py
@@ -22,7 +22,7 @@
 )
 from lab.readiness import ReadinessPoll
 from lab.stalls import StallMonitor, now
-from load_balancer.config.file import read_steps
+from load_balancer.config.file import load_config_steps
 from load_balancer.config.steps import run_to_completion
 from load_balancer.decisions.actions import Send
 from load_balancer.decisions.balancer import Balancer
@@ -106,7 +106,7 @@
         self.document = Document(json.loads(path.read_text(encoding="utf-8")))
         self.environ = {"ROUTER_CONFIG": str(self.file)}
         self.document.write(self.file)
-        self.config = run_to_completion(read_steps(self.environ))
+        self.config = run_to_completion(load_config_steps(self.environ))
         self.endpoints = (
             parse_list(self.config.cached_endpoint_list, self.config.names).to_balancer_event().endpoints
         )
@@ -144,7 +144,7 @@
         """Write a change to the file, read it, and give its settings to all balancers."""
         self.document.apply(change)
         self.document.write(self.file)
-        self.config = self.stalls.take("read_steps", read_steps(self.environ, self.config))
+        self.config = self.stalls.take("read_steps", load_config_steps(self.environ, self.config))
         self.lookup = self.stalls.take("lookup_steps", lookup_steps(self.config, self.lookup))
         for balancer in self.balancers:
             steps = next_version(balancer.settings_version, self.config.settings)
--- a/load_balancer/__main__.py
+++ b/load_balancer/__main__.py
@@ -31,8 +31,8 @@
     """
     loop = asyncio.get_running_loop()
     stop_requested = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop_requested.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
     proxy = Proxy(config, loop)
     client_server = ClientServer(config, proxy, loop)
     reloader = ConfigReloader(config, proxy, client_server)
@@ -81,9 +81,9 @@
 def main() -> int:
     """Run a command where there are arguments, and the gateway where there are none."""
     if len(sys.argv) > 1:
-        from load_balancer.cli import command  # keeps click out of a gateway's memory
+        from load_balancer.cli import cli  # keeps click out of a gateway's memory
 
-        return int(command(prog_name="python -m load_balancer") or 0)
+        return int(cli(prog_name="python -m load_balancer") or 0)
     return run_gateway()
 
 
--- a/load_balancer/cli.py
+++ b/load_balancer/cli.py
@@ -22,7 +22,7 @@
 CONFIG_FILE = click.Path(dir_okay=False)
 
 
-def exit_with(error: ConfigError) -> NoReturn:
+def exit_with_errors(error: ConfigError) -> NoReturn:
     """Print a line on standard error for each error, and exit."""
     for message in error.errors:
         print(f"load_balancer: {message}", file=sys.stderr)
@@ -36,7 +36,7 @@
     "nothing."
 )
 @click.version_option(__version__, prog_name="load_balancer")
-def command() -> None:
+def cli() -> None:
     """A gateway that spreads HTTP requests over a fleet of servers.
 
     The commands here look at a configuration file before a gateway is given it; they start nothing and change
@@ -44,7 +44,7 @@
     """
 
 
-@command.command()
+@cli.command()
 @click.argument("file", type=CONFIG_FILE)
 @click.option(
     "--most",
@@ -63,12 +63,12 @@
     try:
         effective = read_effective_config(file, os.environ, max_errors)
     except ConfigError as error:
-        exit_with(error)
+        exit_with_errors(error)
     settings = effective.config.settings
     print(f"{file}: good; {len(settings.classes)} routes, {len(settings.tenants)} tenants")
 
 
-@command.command()
+@cli.command()
 @click.argument("file", type=CONFIG_FILE)
 def show(file: str) -> None:
     """Print what is in force with FILE, as JSON.
@@ -79,11 +79,11 @@
     try:
         effective = read_effective_config(file, os.environ)
     except ConfigError as error:
-        exit_with(error)
+        exit_with_errors(error)
     click.echo(msgspec.json.format(msgspec.json.encode(effective.document), indent=1))
 
 
-@command.command()
+@cli.command()
 @click.argument("old", type=CONFIG_FILE)
 @click.argument("new", type=CONFIG_FILE)
 @click.option("--all", "all_lines", is_flag=True, help=f"Name all, not the first {DEFAULT_MAX_LINES}.")
@@ -99,7 +99,7 @@
         old_config = read_effective_config(old, os.environ)
         new_config = read_effective_config(new, os.environ)
     except ConfigError as error:
-        exit_with(error)
+        exit_with_errors(error)
     max_lines = sys.maxsize if all_lines else DEFAULT_MAX_LINES
     restart_only = [each.path for each in restart_only_changes(old_config.config, new_config.config)]
     for line in compare_configs(old_config, new_config, max_lines, restart_only):
--- a/load_balancer/config/comparison.py
+++ b/load_balancer/config/comparison.py
@@ -13,7 +13,7 @@
 from load_balancer.config.steps import run_to_completion
 from load_balancer.decisions.settings_version import SettingsVersion, initial_version, next_version
 
-APPLIED_AT_ONCE = ("discovery", "peers", "peers_all")
+APPLIED_IMMEDIATELY = ("discovery", "peers", "peers_all")
 APPLIED_AT_START = ("seed",)
 
 
@@ -33,7 +33,7 @@
     removed: tuple[str, ...]
     changed: Mapping[str, str]
     unchanged_count: int
-    restarted: frozenset[str]
+    state_reset: frozenset[str]
 
     def summary(self, title: str) -> str:
         """Return one line of counts."""
@@ -49,7 +49,7 @@
         for name in self.removed:
             yield f"  - {name}: its state is dropped"
         for name, fields in self.changed.items():
-            state = "starts anew" if name in self.restarted else "is kept"
+            state = "starts anew" if name in self.state_reset else "is kept"
             yield f"  ~ {name}: {fields}; its state {state}"
 
 
@@ -73,9 +73,12 @@
             old_settings.pop(key), new_settings.pop(key), ids(old_version), ids(new_version)
         )
         yield item_changes.summary(title)
-        yield from _shortened(list(item_changes.details()), max_lines)
+        yield from _truncated(list(item_changes.details()), max_lines)
     yield from _section("other settings, in force at once", _changed_fields(old_settings, new_settings))
-    for title, keys in (("in force at once", APPLIED_AT_ONCE), ("only at the next start", APPLIED_AT_START)):
+    for title, keys in (
+        ("in force at once", APPLIED_IMMEDIATELY),
+        ("only at the next start", APPLIED_AT_START),
+    ):
         changes = _changed_fields(_select(old.document, keys), _select(new.document, keys))
         yield from _section(title, changes)
     if restart_only:
@@ -104,7 +107,7 @@
         removed=removed,
         changed=changed,
         unchanged_count=len(in_both) - len(changed),
-        restarted=frozenset(name for name in in_both if old_ids.get(name) != new_ids.get(name)),
+        state_reset=frozenset(name for name in in_both if old_ids.get(name) != new_ids.get(name)),
     )
 
 
@@ -136,7 +139,7 @@
     return {key: document[key] for key in keys}
 
 
-def _shortened(lines: Sequence[str], max_lines: int) -> Iterator[str]:
+def _truncated(lines: Sequence[str], max_lines: int) -> Iterator[str]:
     yield from lines[:max_lines]
     omitted_count = len(lines) - max_lines
     if omitted_count > 0:
--- a/load_balancer/config/config_reader.py
+++ b/load_balancer/config/config_reader.py
@@ -23,13 +23,13 @@
 
 HASH_BYTES_PER_STEP = 1024 * 1024
 DIGEST_BYTES = 16
-UNREADABLE_ADDRESS: Address = ("", 0)  # never in a Config: the error that comes with it is raised first
+PLACEHOLDER_ADDRESS: Address = ("", 0)  # never in a Config: the error that comes with it is raised first
 
 
 def read_config(
     data: bytes, environ: Mapping[str, str], previous: Config | None, errors: ValidationErrors
 ) -> Steps[Config]:
-    """Read the configuration from the file's bytes; see `read_steps`.
+    """Read the configuration from the file's bytes; see `load_config_steps`.
 
     Raises:
         SettingsFormatError: The configuration cannot be used.
@@ -70,9 +70,9 @@
 
 def _add_settings_errors(data: bytes, errors: ValidationErrors) -> Steps[None]:
     """Add the errors of the settings in a file that does not fit `FileModel`."""
-    parts: dict[str, Raw] = decode_value(data, dict[str, Raw], "", errors) or {}
-    if "settings" in parts:
-        yield from read_settings(parts["settings"], "settings", None, errors, names_required=True)
+    raw_fields: dict[str, Raw] = decode_value(data, dict[str, Raw], "", errors) or {}
+    if "settings" in raw_fields:
+        yield from read_settings(raw_fields["settings"], "settings", None, errors, names_required=True)
 
 
 @dataclass(frozen=True, slots=True)
@@ -120,12 +120,12 @@
 
 
 def _read_address(text: object, path: str, errors: ValidationErrors) -> Address:
-    """Return the address at a path, or `UNREADABLE_ADDRESS` once an error has been added to `errors`."""
+    """Return the address at a path, or `PLACEHOLDER_ADDRESS` once an error has been added to `errors`."""
     try:
         return parse_address(text)
     except ConfigError as error:
         errors.add(path, str(error))
-        return UNREADABLE_ADDRESS
+        return PLACEHOLDER_ADDRESS
 
 
 def _read_seed(seed: str | int | float, errors: ValidationErrors) -> int:
@@ -142,9 +142,9 @@
     yield
     if model is None or only_check:
         return {}
-    parts: dict[str, Raw] = msgspec.json.decode(raw, type=dict[str, Raw])
+    raw_fields: dict[str, Raw] = msgspec.json.decode(raw, type=dict[str, Raw])
     endpoint_list: dict[str, Any] = {
-        key: msgspec.json.decode(part) for key, part in parts.items() if key != "endpoints"
+        key: msgspec.json.decode(raw_value) for key, raw_value in raw_fields.items() if key != "endpoints"
     }
     endpoints: list[Any] = []
     for start in range(0, len(model.endpoints), ITEMS_PER_STEP):
@@ -158,11 +158,11 @@
 def _digest(raw: Raw) -> Steps[str]:
     """Return the hex digest of a piece of JSON."""
     view = memoryview(raw)
-    blake = hashlib.blake2b(digest_size=DIGEST_BYTES)
+    digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for start in range(0, len(view), HASH_BYTES_PER_STEP):
-        blake.update(view[start : start + HASH_BYTES_PER_STEP])
+        digest.update(view[start : start + HASH_BYTES_PER_STEP])
         yield
-    return blake.hexdigest()
+    return digest.hexdigest()
 
 
 def _read_named_settings(
--- a/load_balancer/config/effective_config.py
+++ b/load_balancer/config/effective_config.py
@@ -46,11 +46,11 @@
     Raises:
         ConfigError: The file cannot be used; it holds the first `max_errors` errors.
     """
-    shown_path, data = run_to_completion(read_file({**environ, "ROUTER_CONFIG": path}))
+    printable_path, data = run_to_completion(read_file({**environ, "ROUTER_CONFIG": path}))
     try:
         config = run_to_completion(read_config(data, environ, None, ValidationErrors(max_errors)))
     except SettingsFormatError as error:
-        raise ConfigError.from_format_error(shown_path, error) from None
+        raise ConfigError.from_format_error(printable_path, error) from None
     file_model: FileModel = msgspec.json.decode(data, type=FileModel)
     return EffectiveConfig(config, _to_document(config, file_model))
 
@@ -70,7 +70,9 @@
 
 
 def _to_settings_document(settings: SettingsModel) -> JsonObject:
-    classes = [_with_objective(msgspec.json.decode(raw, type=RequestClassModel)) for raw in settings.classes]
+    classes = [
+        _with_default_objective(msgspec.json.decode(raw, type=RequestClassModel)) for raw in settings.classes
+    ]
     tenants: list[TenantModel] = [msgspec.json.decode(raw, type=TenantModel) for raw in settings.tenants]
     document: JsonObject = msgspec.to_builtins(structs.replace(settings, classes=[], tenants=[]))
     document[CLASSES_KEY] = msgspec.to_builtins(classes)
@@ -79,7 +81,7 @@
     return integral
 
 
-def _with_objective(request_class: RequestClassModel) -> RequestClassModel:
+def _with_default_objective(request_class: RequestClassModel) -> RequestClassModel:
     """Write out the default of the latency objective, which is the client's timeout."""
     if request_class.latency_objective_us is not UNSET:
         return request_class
--- a/load_balancer/config/errors.py
+++ b/load_balancer/config/errors.py
@@ -79,8 +79,8 @@
     return f"{line[: MAX_MESSAGE_LENGTH - 3]}..."
 
 
-def join_path(path: str, part: str) -> str:
+def join_path(path: str, segment: str) -> str:
     """Return the JSON path of a part, a name or an index in brackets, within the value at `path`."""
-    if not path or not part or part.startswith("["):
-        return f"{path}{part}"
-    return f"{path}.{part}"
+    if not path or not segment or segment.startswith("["):
+        return f"{path}{segment}"
+    return f"{path}.{segment}"
--- a/load_balancer/config/file.py
+++ b/load_balancer/config/file.py
@@ -18,7 +18,7 @@
 from load_balancer.config.gateway_config import Config
 from load_balancer.config.steps import Steps, run_to_completion
 
-CONFIG_LIMIT = 16 * 1024 * 1024  # bytes; about five times a file of 3,400 classes and 23,000 tenants
+MAX_CONFIG_BYTES = 16 * 1024 * 1024  # bytes; about five times a file of 3,400 classes and 23,000 tenants
 READ_BYTES_PER_STEP = 4 * 1024 * 1024
 MIN_READ_BYTES = 64 * 1024
 
@@ -31,7 +31,7 @@
     Raises:
         ConfigError: The configuration is missing or cannot be used.
     """
-    return run_to_completion(read_steps(environ))
+    return run_to_completion(load_config_steps(environ))
 
 
 def parse_config(document: dict[str, Any]) -> Config:
@@ -46,7 +46,7 @@
         raise ConfigError(str(error), error.errors) from None
 
 
-def read_steps(
+def load_config_steps(
     environ: Mapping[str, str], previous: Config | None = None, max_errors: int = 1
 ) -> Steps[Config]:
     """Read the configuration in steps of at most some 2 ms at 23,000 tenants.
@@ -72,30 +72,30 @@
     """Return the configuration file's path, as errors show it, and its bytes.
 
     Raises:
-        ConfigError: No file is named, it cannot be read, or it has more than `CONFIG_LIMIT` bytes.
+        ConfigError: No file is named, it cannot be read, or it has more than `MAX_CONFIG_BYTES` bytes.
     """
     path = environ.get("ROUTER_CONFIG")
     if not path:
         raise ConfigError("ROUTER_CONFIG is not set")
-    shown_path = printable_line(path)
-    parts: list[bytes] = []
-    received = 0
+    printable_path = printable_line(path)
+    chunks: list[bytes] = []
+    bytes_read = 0
     try:
         with open(path, "rb", buffering=0) as file:
             size = os.fstat(file.fileno()).st_size  # 0 for a pipe
-            while size <= CONFIG_LIMIT:
-                part = file.read(min(READ_BYTES_PER_STEP, max(size - received, MIN_READ_BYTES)))
-                if not part:
+            while size <= MAX_CONFIG_BYTES:
+                chunk = file.read(min(READ_BYTES_PER_STEP, max(size - bytes_read, MIN_READ_BYTES)))
+                if not chunk:
                     break
-                parts.append(part)
-                received += len(part)
-                size = max(size, received)
+                chunks.append(chunk)
+                bytes_read += len(chunk)
+                size = max(size, bytes_read)
                 yield
     except (OSError, ValueError) as error:
         reason = error.strerror if isinstance(error, OSError) else str(error)
-        raise ConfigError(f"{shown_path} cannot be read: {reason}") from None
-    if size > CONFIG_LIMIT:
+        raise ConfigError(f"{printable_path} cannot be read: {reason}") from None
+    if size > MAX_CONFIG_BYTES:
         raise ConfigError(
-            f"{shown_path} is too large: expected at most {CONFIG_LIMIT} bytes, got {size} or more"
+            f"{printable_path} is too large: expected at most {MAX_CONFIG_BYTES} bytes, got {size} or more"
         )
-    return shown_path, b"".join(parts)  # a single part is not copied
+    return printable_path, b"".join(chunks)  # a single part is not copied
--- a/load_balancer/config/json_document.py
+++ b/load_balancer/config/json_document.py
@@ -24,8 +24,8 @@
 _PATH_SUFFIX = re.compile(r" - at `(?:key in )?\$\.?(.*)`$", re.DOTALL)
 _QUOTED_TYPE = re.compile(r"`([^`]*)`")
 _BOUND_SUFFIX = re.compile(r" (>=|<=) (-?[0-9]+)(?:\.0)?$")
-_BOUND_WORDS = {">=": "least", "<=": "most"}
-_TYPE_WORDS = {
+_BOUND_DESCRIPTIONS = {">=": "least", "<=": "most"}
+_TYPE_DESCRIPTIONS = {
     "float": "a number",
     "int": "a whole number",
     "bool | int": "true or false",
@@ -92,13 +92,13 @@
 
 
 def _add_field_errors(raw: Any, model: type[Struct], path: str, errors: ValidationErrors) -> None:
-    parts: dict[str, Raw] | None = decode_value(raw, dict[str, Raw], path, errors)
-    if parts is None:
+    raw_fields: dict[str, Raw] | None = decode_value(raw, dict[str, Raw], path, errors)
+    if raw_fields is None:
         return
     for field in msgspec.structs.fields(model):
         field_path = join_path(path, field.encode_name)
-        if field.encode_name in parts:
-            decode_value(parts[field.encode_name], field.type, field_path, errors)
+        if field.encode_name in raw_fields:
+            decode_value(raw_fields[field.encode_name], field.type, field_path, errors)
         elif field.required:
             errors.add(field_path, f"is missing; {_describe_expected(field.type)}")
 
@@ -134,10 +134,10 @@
 
 def _reword(message: str) -> str:
     """Return a message of msgspec with words for the names of types and the signs of bounds."""
-    message = _QUOTED_TYPE.sub(lambda match: _TYPE_WORDS.get(match[1], match[1]), message)
+    message = _QUOTED_TYPE.sub(lambda match: _TYPE_DESCRIPTIONS.get(match[1], match[1]), message)
     bound = _BOUND_SUFFIX.search(message)
     if bound:
-        message = f"{message[: bound.start()]} of at {_BOUND_WORDS[bound[1]]} {bound[2]}"
+        message = f"{message[: bound.start()]} of at {_BOUND_DESCRIPTIONS[bound[1]]} {bound[2]}"
     return message[:1].lower() + message[1:]
 
 
@@ -169,8 +169,8 @@
         if count % TOKENS_PER_STEP == 0:
             yield
     path = ""
-    for part in open_values:
-        path = join_path(path, f"[{part}]" if isinstance(part, int) else part)
+    for segment in open_values:
+        path = join_path(path, f"[{segment}]" if isinstance(segment, int) else segment)
     return path
 
 
--- a/load_balancer/config/models.py
+++ b/load_balancer/config/models.py
@@ -23,22 +23,22 @@
 Share = Annotated[float, Meta(ge=0, le=1)]
 Flag = bool | int  # 0 and 1 are accepted
 
-IdempotencyWord = Literal["free", "guarded", "single_shot"]
-IDEMPOTENCY: dict[IdempotencyWord, Idempotency] = {
+IdempotencyValue = Literal["free", "guarded", "single_shot"]
+IDEMPOTENCY: dict[IdempotencyValue, Idempotency] = {
     "free": Idempotency.IDEMPOTENT,
     "guarded": Idempotency.IDEMPOTENCY_KEY,
     "single_shot": Idempotency.NON_IDEMPOTENT,
 }
 
-DeduplicationScopeWord = Literal["all", "zone", "cell"]
-DEDUPLICATION_SCOPES: dict[DeduplicationScopeWord, DeduplicationScope] = {
+DeduplicationScopeValue = Literal["all", "zone", "cell"]
+DEDUPLICATION_SCOPES: dict[DeduplicationScopeValue, DeduplicationScope] = {
     "all": DeduplicationScope.ALL,
     "zone": DeduplicationScope.ZONE,
     "cell": DeduplicationScope.GROUP,
 }
 
-LoadReportModeWord = Literal["silent", "piggyback", "pull"]
-LOAD_REPORT_MODES: dict[LoadReportModeWord, LoadReportMode] = {
+LoadReportModeValue = Literal["silent", "piggyback", "pull"]
+LOAD_REPORT_MODES: dict[LoadReportModeValue, LoadReportMode] = {
     "silent": LoadReportMode.NONE,
     "piggyback": LoadReportMode.RESPONSES,
     "pull": LoadReportMode.HEALTH_CHECKS,
@@ -61,8 +61,8 @@
     name: str = ""
     priority_weight: NonNegative = field(default=1.0, name="value")
     late_weight_share: Share = field(default=0.0, name="lateValue")
-    idempotency: IdempotencyWord = field(default="single_shot", name="effect")
-    deduplication_scope: DeduplicationScopeWord = field(default="all", name="group")
+    idempotency: IdempotencyValue = field(default="single_shot", name="effect")
+    deduplication_scope: DeduplicationScopeValue = field(default="all", name="group")
     deduplication_window_us: NonNegative = field(default=0.0, name="windowUs")
     ordered: Flag = field(default=False, name="sequential")
     streamed: Flag = False
@@ -150,7 +150,7 @@
 class LoadReportModel(SettingsObject, frozen=True):
     """Where load reports come from, and the names of their values."""
 
-    mode: LoadReportModeWord = field(default="silent", name="how")
+    mode: LoadReportModeValue = field(default="silent", name="how")
     fields: list[str] = []
 
 
--- a/load_balancer/config/settings_reader.py
+++ b/load_balancer/config/settings_reader.py
@@ -28,7 +28,7 @@
 from load_balancer.decisions.settings import RequestClass, Settings, Tenant
 from load_balancer.errors import SettingsError
 
-_UNLIMITED = 1 << 30  # errors
+_UNLIMITED_ERRORS = 1 << 30  # errors
 
 _Item = TypeVar("_Item", bound=RequestClass | Tenant)
 
@@ -131,10 +131,10 @@
 
 def _decode_lists(raw: Any) -> SettingsModel:
     """Return a model with the lists that can be decoded and the default for everything else."""
-    ignored = ValidationErrors(_UNLIMITED)
-    parts = decode_value(raw, dict[str, Raw], "", ignored) or {}
-    classes = decode_value(parts.get(CLASSES_KEY, b"[]"), list[Raw], "", ignored)
-    tenants = decode_value(parts.get(TENANTS_KEY, b"[]"), list[Raw], "", ignored)
+    ignored = ValidationErrors(_UNLIMITED_ERRORS)
+    raw_fields = decode_value(raw, dict[str, Raw], "", ignored) or {}
+    classes = decode_value(raw_fields.get(CLASSES_KEY, b"[]"), list[Raw], "", ignored)
+    tenants = decode_value(raw_fields.get(TENANTS_KEY, b"[]"), list[Raw], "", ignored)
     return SettingsModel(classes=classes or [], tenants=tenants or [])
 
 
--- a/load_balancer/gateway/reload.py
+++ b/load_balancer/gateway/reload.py
@@ -11,7 +11,7 @@
 from typing import TypeVar
 
 from load_balancer.config.errors import ConfigError
-from load_balancer.config.file import read_steps
+from load_balancer.config.file import load_config_steps
 from load_balancer.config.gateway_config import Config
 from load_balancer.config.steps import Steps
 from load_balancer.decisions.settings_version import SettingsVersion, next_version
@@ -122,7 +122,7 @@
 
     async def _read_and_apply(self) -> None:
         before = self._config
-        config = await run_cooperatively(read_steps(self._environ, before))
+        config = await run_cooperatively(load_config_steps(self._environ, before))
         changes = restart_only_changes(before, config)
         if changes:
             expected = changes[0].value_in(before)
--- a/load_balancer/load_report_format.py
+++ b/load_balancer/load_report_format.py
@@ -11,8 +11,8 @@
     Load reports are advice: a value that is not a finite number is left out.
     """
     pairs: list[tuple[str, float]] = []
-    for part in text.split(","):
-        name, _, value = part.partition(":")
+    for entry in text.split(","):
+        name, _, value = entry.partition(":")
         try:
             number = float(value)
         except ValueError:
--- a/load_balancer/simulator/adapter.py
+++ b/load_balancer/simulator/adapter.py
@@ -23,7 +23,7 @@
     split_line,
 )
 from load_balancer.simulator.errors import WireFormatError
-from load_balancer.simulator.fields import Fields, integer_field, term_field, text_field
+from load_balancer.simulator.fields import Fields, integer_field, lookup_field, text_field
 from load_balancer.simulator.vocabulary import LIST_KINDS, Field, Message, Reply
 
 MAX_REPORTED_LENGTH = 200  # characters of a bad line that are reported
@@ -73,8 +73,8 @@
             reason = f"field or value {error} is missing or unknown"
         else:
             reason = str(error)
-        shown = line[:MAX_REPORTED_LENGTH]
-        message = f"load_balancer: line {self._line_number}: {reason}: {shown}"
+        excerpt = line[:MAX_REPORTED_LENGTH]
+        message = f"load_balancer: line {self._line_number}: {reason}: {excerpt}"
         print(message, file=self._errors, flush=True)
 
     def _read_line(self, line: str) -> None:
@@ -134,10 +134,10 @@
         self._endpoint_tables[text_field(fields, Field.TABLE)] = tuple(endpoints)
 
     def _deliver_endpoint_list(self, fields: Fields) -> None:
-        kind = term_field(fields, Field.LIST_KIND, LIST_KINDS)
+        kind = lookup_field(fields, Field.LIST_KIND, LIST_KINDS)
         endpoints: tuple[Endpoint, ...] = ()
         if kind is not ListKind.ERROR:
-            endpoints = term_field(fields, Field.TABLE, self._endpoint_tables)
+            endpoints = lookup_field(fields, Field.TABLE, self._endpoint_tables)
         self._deliver(EndpointListReceived(kind, endpoints))
 
     def _deliver(self, event: Event) -> None:
--- a/load_balancer/simulator/codec.py
+++ b/load_balancer/simulator/codec.py
@@ -46,9 +46,9 @@
     Fields,
     flag_field,
     integer_field,
+    lookup_field,
     number_field,
     optional_integer_field,
-    term_field,
     text_field,
 )
 from load_balancer.simulator.vocabulary import (
@@ -61,7 +61,7 @@
     Reply,
 )
 
-LAST_FIELD = {
+REST_OF_LINE_FIELD = {
     Message.INSTANCE_STARTED: Field.SETTINGS
 }  # a field that takes the rest of the line, with its spaces
 
@@ -74,15 +74,15 @@
     """
     name, _, rest = line.partition(" ")
     fields: dict[str, str] = {}
-    last_field = LAST_FIELD.get(name)
-    if last_field is not None:
-        rest, mark, text = f" {rest}".partition(f" {last_field}=")
-        if mark:
-            fields[last_field] = text
-    for part in rest.split():
-        key, mark, value = part.partition("=")
-        if not mark:
-            raise WireFormatError(f"'{part}' is not name=value")
+    rest_of_line_field = REST_OF_LINE_FIELD.get(name)
+    if rest_of_line_field is not None:
+        rest, separator, text = f" {rest}".partition(f" {rest_of_line_field}=")
+        if separator:
+            fields[rest_of_line_field] = text
+    for pair in rest.split():
+        key, separator, value = pair.partition("=")
+        if not separator:
+            raise WireFormatError(f"'{pair}' is not name=value")
         fields[key] = value
     return name, fields
 
@@ -117,7 +117,7 @@
     endpoint_id = integer_field(fields, Field.ENDPOINT)
     status = EndpointStatus.READY
     if Field.STATUS in fields:
-        status = term_field(fields, Field.STATUS, ENDPOINT_STATUSES)
+        status = lookup_field(fields, Field.STATUS, ENDPOINT_STATUSES)
     return Endpoint(
         id=endpoint_id,
         status=status,
@@ -147,7 +147,7 @@
         request_id=text_field(fields, Field.REQUEST_ID),
         attempt=integer_field(fields, Field.ATTEMPT),
         endpoint_id=integer_field(fields, Field.ENDPOINT),
-        outcome=term_field(fields, Field.OUTCOME, OUTCOMES),
+        outcome=lookup_field(fields, Field.OUTCOME, OUTCOMES),
         latency_us=integer_field(fields, Field.LATENCY_US, 0),
         finished=flag_field(fields, Field.FINISHED),
         load_report=parse_load_report(fields.get(Field.LOAD_REPORT, "")),
@@ -169,7 +169,7 @@
 def _parse_health_check_ended(fields: Fields) -> HealthCheckEnded:
     return HealthCheckEnded(
         endpoint_id=integer_field(fields, Field.ENDPOINT),
-        outcome=term_field(fields, Field.OUTCOME, OUTCOMES),
+        outcome=lookup_field(fields, Field.OUTCOME, OUTCOMES),
         latency_us=integer_field(fields, Field.LATENCY_US, 0),
         load_report=parse_load_report(fields.get(Field.LOAD_REPORT, "")),
     )
--- a/load_balancer/simulator/fields.py
+++ b/load_balancer/simulator/fields.py
@@ -10,7 +10,7 @@
 
 Fields = Mapping[str, str]
 
-_Term = TypeVar("_Term")
+_Value = TypeVar("_Value")
 
 
 def text_field(fields: Fields, name: str) -> str:
@@ -77,17 +77,17 @@
     return fields.get(name) == TRUE
 
 
-def term_field(fields: Fields, name: str, terms: Mapping[str, _Term]) -> _Term:
+def lookup_field(fields: Fields, name: str, table: Mapping[str, _Value]) -> _Value:
     """Return the value that a table maps the word in a field to.
 
     Raises:
         WireFormatError: The field is missing, or its word is not in the table.
     """
-    word = text_field(fields, name)
+    key = text_field(fields, name)
     try:
-        return terms[word]
+        return table[key]
     except KeyError:
-        raise _missing_or_unknown(word) from None
+        raise _missing_or_unknown(key) from None
 
 
 def _missing_or_unknown(name: str) -> WireFormatError:
--- a/tests/config/examples.py
+++ b/tests/config/examples.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from load_balancer.config.file import CONFIG_LIMIT, load_config, read_steps
+from load_balancer.config.file import MAX_CONFIG_BYTES, load_config, load_config_steps
 from load_balancer.config.gateway_config import Config
 from load_balancer.config.steps import run_to_completion
 from tests.gateway.stub_discovery import endpoint_entry
@@ -20,7 +20,7 @@
 VALID["peers"] = ["127.0.0.1:2"]
 
 TRUNCATED = EXAMPLE.read_bytes().partition(b'"multiplex"')[0]
-BAD_FILES: list[tuple[bytes, str]] = [
+INVALID_FILES: list[tuple[bytes, str]] = [
     (TRUNCATED, f"not JSON: it ends in the middle at byte {len(TRUNCATED)}, in settings.caps"),
     (b'{"seed": NaN}', "seed: expected a finite number, got NaN"),
     (b'{"settings": {}, "name": "\xff"}', "name: expected text in Unicode"),
@@ -28,8 +28,8 @@
     (b"\xff\xfe\x00" * 1000, "not JSON: invalid character at byte 0; expected an object"),
     (b"[" * 1_000_000, "nested too deep; expected an object"),
     (b"[" * 5_000 + b"]" * 5_000, "nested too deep; expected an object"),
-    (b"{" * (CONFIG_LIMIT + 1), f"is too large: expected at most {CONFIG_LIMIT} bytes"),
-    *((json.dumps(raw).encode(), named) for raw, named in INVALID_CONFIGURATIONS if raw != ""),
+    (b"{" * (MAX_CONFIG_BYTES + 1), f"is too large: expected at most {MAX_CONFIG_BYTES} bytes"),
+    *((json.dumps(raw).encode(), message) for raw, message in INVALID_CONFIGURATIONS if raw != ""),
 ]
 """Contents of files that cannot be used, and what the error says of each."""
 
@@ -40,7 +40,7 @@
         file.write(text if isinstance(text, bytes) else text.encode("utf-8", "surrogatepass"))
         file.flush()
         environ = {"ROUTER_CONFIG": file.name}
-        return run_to_completion(read_steps(environ, previous)) if previous else load_config(environ)
+        return run_to_completion(load_config_steps(environ, previous)) if previous else load_config(environ)
 
 
 def with_tenants(count: int) -> dict[str, Any]:
--- a/tests/config/test_addresses.py
+++ b/tests/config/test_addresses.py
@@ -9,20 +9,20 @@
 
 
 @pytest.mark.parametrize("text", ["127.0.0.1:0", "host:65535", "::1:80"])
-def test_an_address_is_read_and_written_the_same(text: str) -> None:
+def test_a_parsed_address_is_formatted_the_same(text: str) -> None:
     assert format_address(parse_address(text)) == text
 
 
 @pytest.mark.parametrize(
     "text", [None, 7, "", "host", ":80", "host:", "host:65536", "host:-1", "host:\uff180"]
 )
-def test_an_invalid_address_is_an_error_that_shows_it(text: object) -> None:
+def test_an_invalid_address_is_an_error_with_the_value(text: object) -> None:
     with pytest.raises(ConfigError) as error:
         parse_address(text)
     assert str(error.value) == f"expected an address of the form host:port, got {text!r}"
 
 
-def test_a_long_value_is_shown_in_part() -> None:
+def test_a_long_value_is_truncated_in_the_error() -> None:
     with pytest.raises(ConfigError) as error:
         parse_address("x" * 100)
     assert str(error.value).endswith("got '" + "x" * 59 + "...")
--- a/tests/config/test_file.py
+++ b/tests/config/test_file.py
@@ -11,14 +11,14 @@
 
 import pytest
 from hypothesis import given
-from hypothesis import settings as examples
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from load_balancer.config.errors import MAX_MESSAGE_LENGTH, ConfigError
-from load_balancer.config.file import load_config, read_steps
+from load_balancer.config.file import load_config, load_config_steps
 from load_balancer.config.gateway_config import Config
 from load_balancer.config.steps import ITEMS_PER_STEP, run_to_completion
-from tests.config.examples import BAD_FILES, VALID, load, with_tenants
+from tests.config.examples import INVALID_FILES, VALID, load, with_tenants
 
 JsonPath = tuple[Any, ...]
 
@@ -32,40 +32,40 @@
 
 PATHS = list(paths_within(VALID))
 NUMBERS: list[Any] = [0, -1, 7, 0.5, 1e300, 10**400, float("nan"), float("-inf")]
-TEXTS = ["", "odd\n", "\ud800", "9" * 5000 + ":9", "h:" + "9" * 5000, "-1f", "1e5", "99999999999999999999"]
-ODD_VALUES = [None, True, *NUMBERS, *TEXTS, [], {}, [{}], [[]], {"a": 1}]
+STRINGS = ["", "odd\n", "\ud800", "9" * 5000 + ":9", "h:" + "9" * 5000, "-1f", "1e5", "99999999999999999999"]
+UNUSUAL_VALUES = [None, True, *NUMBERS, *STRINGS, [], {}, [{}], [[]], {"a": 1}]
 
 
 @st.composite
 def mutated_files(draw: st.DrawFn) -> str | bytes:
     document = copy.deepcopy(VALID)
     for _ in range(draw(st.integers(0, 3))):
-        *parents, last = draw(st.sampled_from(PATHS))
-        inner = document
+        *parents, last_key = draw(st.sampled_from(PATHS))
+        container = document
         try:
             for key in parents:
-                inner = inner[key]
+                container = container[key]
             match draw(st.sampled_from(["put", "drop", "twice"])):
                 case "drop":
-                    del inner[last]
-                case "twice" if isinstance(inner, list):
-                    inner.append(inner[last])
+                    del container[last_key]
+                case "twice" if isinstance(container, list):
+                    container.append(container[last_key])
                 case _:
-                    inner[last] = copy.deepcopy(draw(st.sampled_from(ODD_VALUES)))
+                    container[last_key] = copy.deepcopy(draw(st.sampled_from(UNUSUAL_VALUES)))
         except (KeyError, IndexError, TypeError):
             continue  # an earlier change took it away
     text = json.dumps(document).encode()
     if draw(st.integers(0, 3)):
         return text
-    at = draw(st.integers(0, len(text)))
-    return text[:at] + draw(
-        st.sampled_from([b"", b"NaN", b"\xff", b"[" * 5000, b"{}" + text[at:], text[at + 1 :]])
+    offset = draw(st.integers(0, len(text)))
+    return text[:offset] + draw(
+        st.sampled_from([b"", b"NaN", b"\xff", b"[" * 5000, b"{}" + text[offset:], text[offset + 1 :]])
     )
 
 
 @given(mutated_files())
-@examples(max_examples=400, deadline=None, derandomize=True)
-def test_whatever_stands_in_the_file_is_a_configuration_or_one_line(text: str | bytes) -> None:
+@hypothesis_settings(max_examples=400, deadline=None, derandomize=True)
+def test_any_file_content_is_a_valid_configuration_or_a_one_line_error(text: str | bytes) -> None:
     previous = load(json.dumps(VALID))
     try:
         config = load(text)
@@ -76,8 +76,8 @@
         with pytest.raises(ConfigError):
             load(text, previous)
     else:
-        again = load(text, previous)  # reading beside a configuration gives what reading alone does
-        assert replace(config, cached_endpoint_list={}) == again
+        reread = load(text, previous)  # reading beside a configuration gives what reading alone does
+        assert replace(config, cached_endpoint_list={}) == reread
 
 
 @pytest.fixture(scope="module")
@@ -91,29 +91,29 @@
     return document
 
 
-def test_equal_settings_are_kept_as_the_same_objects(thousand_tenants: Config) -> None:
+def test_equal_settings_reuse_the_previous_objects(thousand_tenants: Config) -> None:
     previous = thousand_tenants
-    moved = load(json.dumps(with_tenants(1_000) | {"discovery": "127.0.0.9:1"}), previous)
-    assert moved.settings is previous.settings
-    assert moved.settings_digest == previous.settings_digest
-    assert moved.names is previous.names
-    assert moved.discovery == ("127.0.0.9", 1)
+    reloaded = load(json.dumps(with_tenants(1_000) | {"discovery": "127.0.0.9:1"}), previous)
+    assert reloaded.settings is previous.settings
+    assert reloaded.settings_digest == previous.settings_digest
+    assert reloaded.names is previous.names
+    assert reloaded.discovery == ("127.0.0.9", 1)
 
 
-def test_one_changed_tenant_leaves_the_others_the_same_objects(thousand_tenants: Config) -> None:
+def test_a_changed_tenant_is_the_only_new_object(thousand_tenants: Config) -> None:
     previous = thousand_tenants
     config = load(json.dumps(with_one_tenant_changed()), previous)
     assert config.settings_digest != previous.settings_digest
     assert config.settings != previous.settings
     assert config.settings.classes is previous.settings.classes
-    same = [new is old for new, old in zip(config.settings.tenants, previous.settings.tenants, strict=True)]
-    assert same.count(False) == 1
-    assert not same[3]
+    reused = [new is old for new, old in zip(config.settings.tenants, previous.settings.tenants, strict=True)]
+    assert reused.count(False) == 1
+    assert not reused[3]
     for field in ("classes", "tenants", "zones", "endpoint_kinds"):
         assert getattr(config.names, field) is getattr(previous.names, field)
 
 
-def test_tenants_in_another_order_are_the_same_objects(thousand_tenants: Config) -> None:
+def test_reordered_tenants_reuse_the_previous_objects(thousand_tenants: Config) -> None:
     document = with_one_tenant_changed()
     previous = load(json.dumps(document), thousand_tenants)
     document["settings"]["tenants"].reverse()
@@ -123,25 +123,25 @@
     )
 
 
-def test_a_read_lets_others_run_between_few_items(tmp_path: Path) -> None:
+def test_reading_yields_between_short_steps(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(with_tenants(10 * ITEMS_PER_STEP)))
-    assert len(list(read_steps({"ROUTER_CONFIG": str(path)}))) > 10
+    assert len(list(load_config_steps({"ROUTER_CONFIG": str(path)}))) > 10
 
 
-def test_a_reload_follows_the_file_where_a_start_follows_the_environment(tmp_path: Path) -> None:
+def test_a_reload_ignores_the_override_of_the_discovery_address(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(VALID))
     overrides = {"ROUTER_DISCOVERY": "127.0.0.8:1", "ROUTER_LISTEN": "127.0.0.8:2", "ROUTER_NAME": "n8"}
     environ = {"ROUTER_CONFIG": str(path), **overrides}
     first = load_config(environ)
-    again = run_to_completion(read_steps(environ, first))
-    assert (first.discovery, again.discovery) == (("127.0.0.8", 1), ("127.0.0.2", 8500))
-    assert (first.name, first.listen) == (again.name, again.listen) == ("n8", ("127.0.0.8", 2))
+    reread = run_to_completion(load_config_steps(environ, first))
+    assert (first.discovery, reread.discovery) == (("127.0.0.8", 1), ("127.0.0.2", 8500))
+    assert (first.name, first.listen) == (reread.name, reread.listen) == ("n8", ("127.0.0.8", 2))
 
 
-@pytest.mark.parametrize(("text", "message"), BAD_FILES, ids=range(len(BAD_FILES)))
-def test_each_kind_of_bad_file_is_one_line_that_names_path_and_expectation(
+@pytest.mark.parametrize(("text", "message"), INVALID_FILES, ids=range(len(INVALID_FILES)))
+def test_an_invalid_file_is_a_one_line_error_with_path_and_expectation(
     text: bytes, message: str, tmp_path: Path
 ) -> None:
     path = tmp_path / "config.json"
@@ -152,9 +152,9 @@
     assert message in str(error.value)
 
 
-def test_a_file_of_64_mb_is_not_read(tmp_path: Path) -> None:
+def test_a_file_above_the_size_limit_is_not_read(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     with path.open("wb") as file:
         file.truncate(64 * 1024 * 1024)
     with pytest.raises(ConfigError, match="too large"):
-        next(read_steps({"ROUTER_CONFIG": str(path)}))
+        next(load_config_steps({"ROUTER_CONFIG": str(path)}))
--- a/tests/config/test_json_document.py
+++ b/tests/config/test_json_document.py
@@ -23,22 +23,22 @@
         ("]}] [1, ", "[1]"),
     ],
 )
-def test_the_path_of_the_innermost_open_value(text: str, path: str) -> None:
+def test_json_path_at_returns_the_path_of_the_innermost_open_value(text: str, path: str) -> None:
     data = text.encode()
     assert run_to_completion(json_path_at(data, len(data))) == path
 
 
-def test_a_long_text_is_searched_in_steps() -> None:
+def test_json_path_at_yields_regularly_in_a_long_text() -> None:
     data = b"[" + b"1," * (3 * TOKENS_PER_STEP)
     assert len(list(json_path_at(data, len(data)))) == 3
 
 
-BAD_CLASS = b'{"aimUs": 0, "effect": "odd", "streamed": "no"}'
+INVALID_CLASS = b'{"aimUs": 0, "effect": "odd", "streamed": "no"}'
 
 
 def test_all_errors_of_an_object_are_collected() -> None:
     errors = ValidationErrors(max_errors=10)
-    assert decode_value(BAD_CLASS, RequestClassModel, "lanes[2]", errors) is None
+    assert decode_value(INVALID_CLASS, RequestClassModel, "lanes[2]", errors) is None
     assert errors.messages == [
         "lanes[2].giveUpUs: is missing; expected a number",
         "lanes[2].aimUs: expected a number of at least 1",
@@ -47,9 +47,9 @@
     ]
 
 
-def test_errors_are_raised_once_there_are_enough() -> None:
+def test_errors_are_raised_when_the_maximum_is_reached() -> None:
     with pytest.raises(SettingsFormatError) as error:
-        decode_value(BAD_CLASS, RequestClassModel, "lanes[2]", ValidationErrors(max_errors=2))
+        decode_value(INVALID_CLASS, RequestClassModel, "lanes[2]", ValidationErrors(max_errors=2))
     assert len(error.value.errors) == 2
 
 
--- a/tests/config/test_models.py
+++ b/tests/config/test_models.py
@@ -12,9 +12,9 @@
     DEDUPLICATION_SCOPES,
     IDEMPOTENCY,
     LOAD_REPORT_MODES,
-    DeduplicationScopeWord,
-    IdempotencyWord,
-    LoadReportModeWord,
+    DeduplicationScopeValue,
+    IdempotencyValue,
+    LoadReportModeValue,
     RequestClassModel,
     json_name,
 )
@@ -24,19 +24,21 @@
 @pytest.mark.parametrize(
     ("table", "words", "terms"),
     [
-        (IDEMPOTENCY, IdempotencyWord, Idempotency),
-        (DEDUPLICATION_SCOPES, DeduplicationScopeWord, DeduplicationScope),
-        (LOAD_REPORT_MODES, LoadReportModeWord, LoadReportMode),
+        (IDEMPOTENCY, IdempotencyValue, Idempotency),
+        (DEDUPLICATION_SCOPES, DeduplicationScopeValue, DeduplicationScope),
+        (LOAD_REPORT_MODES, LoadReportModeValue, LoadReportMode),
     ],
 )
-def test_a_table_maps_each_word_to_one_term(table: Mapping[str, Enum], words: Any, terms: type[Enum]) -> None:
-    assert tuple(table) == get_args(words)
-    assert list(table.values()) == list(terms)
+def test_a_table_maps_each_json_value_to_one_enum_member(
+    table: Mapping[str, Enum], json_values: Any, members: type[Enum]
+) -> None:
+    assert tuple(table) == get_args(json_values)
+    assert list(table.values()) == list(members)
 
 
 @pytest.mark.parametrize(
     ("field", "name"),
     [("client_timeout_us", "giveUpUs"), ("streamed", "streamed"), ("deduplication_scope", "group")],
 )
-def test_a_field_has_the_operators_name_in_json(field: str, name: str) -> None:
+def test_json_name_returns_the_encoded_name_of_a_field(field: str, name: str) -> None:
     assert json_name(RequestClassModel, field) == name
--- a/tests/gateway/reload_helpers.py
+++ b/tests/gateway/reload_helpers.py
@@ -13,7 +13,7 @@
 import pytest
 
 from load_balancer.config import file as configs
-from load_balancer.config.file import read_steps
+from load_balancer.config.file import load_config_steps
 from load_balancer.config.gateway_config import Config
 from load_balancer.gateway import reload
 from load_balancer.gateway.reload import ConfigReloader
@@ -90,11 +90,11 @@
 
     def held(environ: Mapping[str, str], before: Config | None = None) -> Generator[None, None, Config]:
         began.append(before)
-        steps = read_steps(environ, before)
+        steps = load_config_steps(environ, before)
         next(steps)  # the file is open, and as it was
         while not free.is_set():
             yield
         return (yield from steps)
 
-    monkeypatch.setattr(reload, "read_steps", held)
+    monkeypatch.setattr(reload, "load_config_steps", held)
     return began, free
--- a/tests/gateway/test_reload.py
+++ b/tests/gateway/test_reload.py
@@ -88,7 +88,7 @@
 ) -> None:
     caplog.set_level(logging.INFO)
     async with reloadable(tmp_path) as instance:
-        monkeypatch.setattr(configs, "CONFIG_LIMIT", 2_000)
+        monkeypatch.setattr(configs, "MAX_CONFIG_BYTES", 2_000)
         instance.path.write_text(spoil(instance.path.read_text()))
         instance.reloader.request_reload()
         await instance.finish_reading()
--- a/tests/simulator/script.py
+++ b/tests/simulator/script.py
@@ -34,7 +34,7 @@
 ]
 
 
-def run(*lines: str) -> tuple[list[str], str]:
+def run_adapter(*lines: str) -> tuple[list[str], str]:
     """Return the reply's lines and what was reported on standard error."""
     sink, errors = io.StringIO(), io.StringIO()
     SimulatorAdapter(io.StringIO("\n".join(lines) + "\n"), sink, errors).run()
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.simulator.script import SETTINGS, START, run
+from tests.simulator.script import SETTINGS, START, run_adapter
 
 ROOT = Path(__file__).parent.parent.parent
 
@@ -28,8 +28,8 @@
         "pong verdict=200",
     ],
 )
-def test_a_bad_line_is_named_and_the_rest_goes_on(line: str) -> None:
-    replies, errors = run(
+def test_an_invalid_line_is_reported_and_later_lines_are_handled(line: str) -> None:
+    replies, errors = run_adapter(
         *START,
         "begin_batch simTimeUs=2000",
         "instance i=gateway_0",
@@ -56,8 +56,8 @@
         ("nonsense a=1", "unknown event"),
     ],
 )
-def test_the_reason_stands_between_the_number_of_a_bad_line_and_its_text(line: str, reason: str) -> None:
-    _, errors = run(*START, "instance i=gateway_0", line)
+def test_an_invalid_line_is_reported_with_number_reason_and_text(line: str, reason: str) -> None:
+    _, errors = run_adapter(*START, "instance i=gateway_0", line)
     assert errors.startswith(f"load_balancer: line 10: {reason}")
     assert errors.endswith(f": {line}\n")
 
@@ -71,13 +71,13 @@
         ("incoming requestId=t/a graceUs=9", "not a list entry"),
     ],
 )
-def test_a_bad_entry_of_a_table_is_named(entry: str, reason: str) -> None:
-    _, errors = run("inventory table=0 members=2", entry, "host host=2")
+def test_an_invalid_entry_of_an_endpoint_table_is_reported(entry: str, reason: str) -> None:
+    _, errors = run_adapter("inventory table=0 members=2", entry, "host host=2")
     assert errors == f"load_balancer: line 2: {reason}: {entry}\n"
 
 
-def test_an_unknown_instance_is_named() -> None:
-    replies, errors = run(
+def test_an_unknown_instance_is_reported() -> None:
+    replies, errors = run_adapter(
         "begin_batch simTimeUs=1", "instance i=gateway_8", "incoming requestId=t/a graceUs=9", "go"
     )
     assert replies == ["next"]
@@ -85,7 +85,7 @@
 
 
 def test_events_of_finished_requests_are_ignored() -> None:
-    replies, errors = run(
+    replies, errors = run_adapter(
         *START,
         "begin_batch simTimeUs=2000",
         "instance i=gateway_0",
@@ -100,8 +100,8 @@
     assert errors == ""
 
 
-def test_a_killed_instance_is_forgotten_and_may_start_again() -> None:
-    replies, errors = run(
+def test_a_stopped_instance_can_be_started_again() -> None:
+    replies, errors = run_adapter(
         *START,
         "begin_batch simTimeUs=2000",
         "instance i=gateway_0",
@@ -115,7 +115,7 @@
     assert replies[1] == "by i=gateway_0"
 
 
-def test_the_adapter_answers_a_script_the_same_way_twice() -> None:
+def test_the_adapter_gives_the_same_output_for_the_same_input() -> None:
     script = [*START]
     for n in range(40):
         script += [
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -58,16 +58,16 @@
         ("inbox src=1 bytes=-", PeerMessageReceived(1, b"")),
     ],
 )
-def test_events_are_read(line: str, event: Event) -> None:
+def test_events_are_parsed(line: str, event: Event) -> None:
     name, fields = split_line(line)
     assert PARSERS[name](fields) == event
 
 
-def test_every_outcome_code_is_known() -> None:
+def test_every_outcome_has_a_code() -> None:
     assert set(OUTCOMES.values()) == set(Outcome)
 
 
-def test_list_entries_are_read() -> None:
+def test_endpoint_entries_are_parsed() -> None:
     _, fields = split_line(
         "host campus=1 host=7 heft=1.5 group=3 sinceUs=61 status=Terminating classOfHost=2"
     )
@@ -92,5 +92,5 @@
         (LogEvent("two words"), "journal_line line=two words"),
     ],
 )
-def test_actions_are_written(action: Action, line: str) -> None:
+def test_actions_are_formatted(action: Action, line: str) -> None:
     assert format_action(action) == line
--- a/tests/simulator/test_settings.py
+++ b/tests/simulator/test_settings.py
@@ -20,12 +20,12 @@
 )
 from load_balancer.simulator.codec import parse_settings
 from load_balancer.simulator.errors import WireFormatError
-from tests.simulator.script import SETTINGS, run
+from tests.simulator.script import SETTINGS, run_adapter
 
-CLASSES, TWICE = '"lanes": [{"giveUpUs": 1}]', '{"name": "t"}, {"name": "t"}'
+ONE_CLASS, DUPLICATE_TENANTS = '"lanes": [{"giveUpUs": 1}]', '{"name": "t"}, {"name": "t"}'
 
 
-def test_settings_have_defaults_and_ignore_the_unknown() -> None:
+def test_settings_have_defaults_and_unknown_keys_are_ignored() -> None:
     settings = parse_settings(SETTINGS)
     assert settings.max_attempts == 4
     assert settings.gateways == 1
@@ -38,7 +38,7 @@
     assert settings.classes[1].deduplication_window_us == 150_000
 
 
-def test_a_whole_number_may_have_a_point_and_a_flag_be_0_or_1() -> None:
+def test_an_integral_float_and_a_flag_of_0_or_1_are_accepted() -> None:
     request_class = {"giveUpUs": 1000.0, "streamed": 1, "sequential": 0}
     settings = parse_settings(json.dumps({"lanes": [request_class], "caps": {"maxAttempts": 2.0}}))
     assert settings.classes == (RequestClass(1000, 1000, streamed=True),)
@@ -58,41 +58,47 @@
         ('{"lanes": [{"giveUpUs": 0}]}', "lanes[0].giveUpUs: expected a number of at least 1"),
         ('{"lanes": [{"giveUpUs": 1, "aimUs": 0}]}', "lanes[0].aimUs: expected a number of at least 1"),
         (
-            f'{{{CLASSES}, "contract": {{"warmAfterUs": -5}}}}',
+            f'{{{ONE_CLASS}, "contract": {{"warmAfterUs": -5}}}}',
             "contract.warmAfterUs: expected a number of at least",
         ),
         (
-            f'{{{CLASSES}, "caps": {{"maxAttempts": "four"}}}}',
+            f'{{{ONE_CLASS}, "caps": {{"maxAttempts": "four"}}}}',
             "caps.maxAttempts: expected a number, got text",
         ),
-        (f'{{{CLASSES}, "caps": {{"probes": "yes"}}}}', "caps.probes: expected true or false, got text"),
-        (f'{{{CLASSES}, "prices": {{"waste": NaN}}}}', "prices.waste: expected a finite number, got NaN"),
+        (f'{{{ONE_CLASS}, "caps": {{"probes": "yes"}}}}', "caps.probes: expected true or false, got text"),
+        (f'{{{ONE_CLASS}, "prices": {{"waste": NaN}}}}', "prices.waste: expected a finite number, got NaN"),
         (
-            f'{{{CLASSES}, "prices": {{"waste": -Infinity}}}}',
+            f'{{{ONE_CLASS}, "prices": {{"waste": -Infinity}}}}',
             "prices.waste: expected a finite number, got -Inf",
         ),
-        (f'{{{CLASSES}, "prices": {{"waste": 1e999}}}}', "prices.waste: expected a number"),
+        (f'{{{ONE_CLASS}, "prices": {{"waste": 1e999}}}}', "prices.waste: expected a number"),
         (
-            f'{{{CLASSES}, "tenants": [{{"fraction": 2}}]}}',
+            f'{{{ONE_CLASS}, "tenants": [{{"fraction": 2}}]}}',
             "tenants[0].fraction: expected a number of at most",
         ),
-        (f'{{{CLASSES}, "tenants": [{TWICE}]}}', "tenants[1].name: expected a name of its own, got 't'"),
-        (f'{{{CLASSES}, "zones": ["z", "z"]}}', "zones[1]: expected a name of its own, got 'z'"),
-        (f'{{{CLASSES}, "zones": ["z"], "zone": 1}}', "zone: expected the place of one of 1 zones"),
-        (f'{{{CLASSES}, "balancers": 2, "index": 2}}', "index: expected a number below balancers, 2, got 2"),
         (
-            f'{{{CLASSES}, "report": {{"how": "odd"}}}}',
+            f'{{{ONE_CLASS}, "tenants": [{DUPLICATE_TENANTS}]}}',
+            "tenants[1].name: expected a name of its own, got 't'",
+        ),
+        (f'{{{ONE_CLASS}, "zones": ["z", "z"]}}', "zones[1]: expected a name of its own, got 'z'"),
+        (f'{{{ONE_CLASS}, "zones": ["z"], "zone": 1}}', "zone: expected the place of one of 1 zones"),
+        (
+            f'{{{ONE_CLASS}, "balancers": 2, "index": 2}}',
+            "index: expected a number below balancers, 2, got 2",
+        ),
+        (
+            f'{{{ONE_CLASS}, "report": {{"how": "odd"}}}}',
             "report.how: expected silent or piggyback or pull",
         ),
-        (f'{{{CLASSES}, "contract": 5}}', "contract: expected an object, got a whole number"),
+        (f'{{{ONE_CLASS}, "contract": 5}}', "contract: expected an object, got a whole number"),
         ('{"lanes": 5}', "lanes: expected a list, got a whole number"),
         ('{"lanes": [{"giveUpUs": 1, "effect": "odd"}]}', "lanes[0].effect: expected free or guarded or"),
     ],
 )
-def test_settings_that_cannot_be_used_are_named(text: str, message: str) -> None:
+def test_invalid_settings_are_reported_by_path(text: str, message: str) -> None:
     with pytest.raises(WireFormatError, match=re.escape(message)):
         parse_settings(text)
-    replies, errors = run(
+    replies, errors = run_adapter(
         "begin_batch simTimeUs=1", "instance i=gateway_0", f"launch prng=1 bootInfo={text}", "go"
     )
     assert replies == ["next"]
@@ -101,7 +107,7 @@
     assert "Traceback" not in errors
 
 
-def test_every_setting_reaches_the_interface() -> None:
+def test_every_setting_is_converted() -> None:
     document = {
         "balancers": 4,
         "index": 3,
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -14,14 +14,14 @@
 from click.testing import CliRunner, Result
 
 import load_balancer
-from load_balancer.cli import command
+from load_balancer.cli import cli
 from load_balancer.config.errors import ConfigError
 from load_balancer.config.file import load_config
-from tests.config.examples import BAD_FILES, EXAMPLE, VALID, load
+from tests.config.examples import EXAMPLE, INVALID_FILES, VALID, load
 
 
-def call(*arguments: object) -> Result:
-    return CliRunner().invoke(command, list(map(str, arguments)))
+def run_command(*arguments: object) -> Result:
+    return CliRunner().invoke(cli, list(map(str, arguments)))
 
 
 @pytest.fixture
@@ -35,65 +35,65 @@
     return copy.deepcopy(VALID)
 
 
-@pytest.mark.parametrize(("text", "message"), BAD_FILES, ids=range(len(BAD_FILES)))
-def test_check_prints_the_error_that_a_start_would_end_with(text: bytes, message: str, path: Path) -> None:
+@pytest.mark.parametrize(("text", "message"), INVALID_FILES, ids=range(len(INVALID_FILES)))
+def test_check_prints_the_error_that_a_start_would_report(text: bytes, message: str, path: Path) -> None:
     path.write_bytes(text)
     with pytest.raises(ConfigError) as error:
         load_config({"ROUTER_CONFIG": str(path)})
     assert message in str(error.value)
-    done = call("check", "--most", 1, path)
-    assert (done.exit_code, done.stdout) == (2, "")
-    assert done.stderr == f"load_balancer: {error.value}\n"
+    result = run_command("check", "--most", 1, path)
+    assert (result.exit_code, result.stdout) == (2, "")
+    assert result.stderr == f"load_balancer: {error.value}\n"
 
 
-def test_check_ends_with_2_for_a_directory_and_for_a_missing_file(tmp_path: Path) -> None:
-    assert call("check", tmp_path).exit_code == call("check", tmp_path / "none").exit_code == 2
+def test_check_exits_with_2_for_a_directory_and_for_a_missing_file(tmp_path: Path) -> None:
+    assert run_command("check", tmp_path).exit_code == run_command("check", tmp_path / "none").exit_code == 2
 
 
 def test_check_accepts_a_valid_file() -> None:
-    assert call("check", EXAMPLE).exit_code == 0
+    assert run_command("check", EXAMPLE).exit_code == 0
 
 
-def test_check_names_the_first_errors(path: Path, document: dict[str, Any]) -> None:
+def test_check_prints_the_first_errors(path: Path, document: dict[str, Any]) -> None:
     document["settings"]["lanes"][1]["aimUs"] = -1
     document["settings"]["caps"] |= {"peers": "no", "multiplex": 0}
     document["settings"]["tenants"][0] = {}
     document["limits"] = []
     path.write_text(json.dumps(document))
-    errors = call("check", path).stderr.splitlines()
-    for place in ("limits", "caps.multiplex", "caps.peers", "lanes[1].aimUs", "tenants[0].name"):
-        (line,) = [line for line in errors if f"{place}: " in line]
+    errors = run_command("check", path).stderr.splitlines()
+    for location in ("limits", "caps.multiplex", "caps.peers", "lanes[1].aimUs", "tenants[0].name"):
+        (line,) = [line for line in errors if f"{location}: " in line]
         assert "expected" in line
     assert len(errors) == 5
-    assert call("check", "--most", 2, path).stderr.splitlines() == errors[:2]
+    assert run_command("check", "--most", 2, path).stderr.splitlines() == errors[:2]
 
 
 @pytest.fixture
-def short_file(path: Path) -> Path:
+def minimal_file(path: Path) -> Path:
     """A file with nothing but what must be there."""
-    short = {key: VALID[key] for key in ("name", "listen", "discovery")}
-    path.write_text(json.dumps(short | {"settings": {"lanes": [{"name": "a", "giveUpUs": 9.0}]}}))
+    minimal = {key: VALID[key] for key in ("name", "listen", "discovery")}
+    path.write_text(json.dumps(minimal | {"settings": {"lanes": [{"name": "a", "giveUpUs": 9.0}]}}))
     return path
 
 
-def test_show_prints_every_default(short_file: Path) -> None:
-    shown = json.loads(call("show", short_file).stdout)
+def test_show_prints_every_default(minimal_file: Path) -> None:
+    shown = json.loads(run_command("show", minimal_file).stdout)
     assert shown["settings"]["lanes"][0]["aimUs"] == 9
     assert shown["limits"] == {"sockets": 1024}
     assert shown["settings"]["contract"]["mustAskInUs"] == 10_000_000
 
 
-def test_show_prints_a_file_of_the_same_configuration(short_file: Path) -> None:
-    for file in (short_file, EXAMPLE):
-        again = load(call("show", file).stdout)
-        assert replace(again, settings_digest="", cached_endpoint_list={}) == replace(
+def test_show_prints_a_file_of_the_same_configuration(minimal_file: Path) -> None:
+    for file in (minimal_file, EXAMPLE):
+        reread = load(run_command("show", file).stdout)
+        assert replace(reread, settings_digest="", cached_endpoint_list={}) == replace(
             load(file.read_bytes()), settings_digest="", cached_endpoint_list={}
         )
 
 
-def test_diff_of_a_file_with_itself_names_nothing() -> None:
-    same = call("diff", EXAMPLE, EXAMPLE).stdout.splitlines()
-    assert same == [
+def test_diff_of_a_file_with_itself_lists_no_changes() -> None:
+    output = run_command("diff", EXAMPLE, EXAMPLE).stdout.splitlines()
+    assert output == [
         "routes: 0 added, 0 removed, 0 changed, 3 as before",
         "tenants: 0 added, 0 removed, 0 changed, 2 as before",
     ]
@@ -110,9 +110,9 @@
     return document | {"seed": "1", "discovery": "127.0.0.3:1"}
 
 
-def test_diff_names_what_changes_and_what_starts_anew(path: Path, changed_document: dict[str, Any]) -> None:
+def test_diff_lists_changes_and_whether_state_is_reset(path: Path, changed_document: dict[str, Any]) -> None:
     path.write_text(json.dumps(changed_document))
-    lines = call("diff", EXAMPLE, path).stdout.splitlines()
+    lines = run_command("diff", EXAMPLE, path).stdout.splitlines()
     assert lines == [
         "routes: 1 added, 0 removed, 1 changed, 2 as before",
         "  + list-stops",
@@ -129,31 +129,31 @@
     ]
 
 
-def test_diff_names_what_a_running_gateway_refuses(path: Path, changed_document: dict[str, Any]) -> None:
+def test_diff_lists_settings_that_need_a_restart(path: Path, changed_document: dict[str, Any]) -> None:
     settings = changed_document["settings"]
     settings["zones"] = [*settings.get("zones", []), "another"]
     path.write_text(json.dumps(changed_document | {"limits": {"sockets": 200}}))
-    refused = "refused by a gateway that runs with OLD, as only a new process can change it: "
-    last = call("diff", EXAMPLE, path).stdout.splitlines()[-1]
-    assert last == refused + "limits.sockets, settings.zones"
+    prefix = "refused by a gateway that runs with OLD, as only a new process can change it: "
+    last_line = run_command("diff", EXAMPLE, path).stdout.splitlines()[-1]
+    assert last_line == prefix + "limits.sockets, settings.zones"
 
 
-def test_diff_ends_with_2_where_a_file_cannot_be_used(path: Path) -> None:
+def test_diff_exits_with_2_for_an_invalid_file(path: Path) -> None:
     path.write_text("{")
-    assert call("diff", EXAMPLE, path).exit_code == 2
+    assert run_command("diff", EXAMPLE, path).exit_code == 2
 
 
-def test_the_command_line_prints_its_version() -> None:
-    assert call("--version").stdout.split() == ["load_balancer,", "version", load_balancer.__version__]
+def test_version_is_printed() -> None:
+    assert run_command("--version").stdout.split() == ["load_balancer,", "version", load_balancer.__version__]
 
 
-def test_the_command_line_says_how_to_use_it() -> None:
-    text = call("--help").stdout
+def test_help_describes_commands_variables_and_signals() -> None:
+    text = run_command("--help").stdout
     assert all(word in text for word in ("check", "show", "diff", "ROUTER_CONFIG", "SIGHUP", "SIGTERM"))
     for name in ("check", "show", "diff"):
-        assert call(name, "--help").exit_code == 0
+        assert run_command(name, "--help").exit_code == 0
 
 
-def test_a_gateway_starts_without_the_command_line() -> None:
+def test_a_gateway_starts_without_importing_click() -> None:
     code = "import sys, load_balancer.__main__; sys.exit('click' in sys.modules)"
     subprocess.run([sys.executable, "-c", code], check=True)
