--- a/load_balancer/__main__.py
+++ b/load_balancer/__main__.py
@@ -15,8 +15,8 @@
 from load_balancer.config.gateway_config import Config
 from load_balancer.gateway.client_server import ClientServer
 from load_balancer.gateway.event_log import configure_logging, flush, log_event
-from load_balancer.gateway.proxy import Proxy
 from load_balancer.gateway.reload import ConfigReloader, trim_heap
+from load_balancer.gateway.reverse_proxy import ReverseProxy
 
 EXIT_OK = 0
 EXIT_START_FAILED = 1
@@ -33,7 +33,7 @@
     stop_requested = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop_requested.set)
-    proxy = Proxy(config, loop)
+    proxy = ReverseProxy(config, loop)
     client_server = ClientServer(config, proxy, loop)
     reloader = ConfigReloader(config, proxy, client_server)
     loop.add_signal_handler(signal.SIGHUP, reloader.request_reload)
--- a/load_balancer/gateway/attempt_sender.py
+++ b/load_balancer/gateway/attempt_sender.py
@@ -11,7 +11,7 @@
 from load_balancer.gateway.clock import Clock
 from load_balancer.gateway.http_message import Response
 from load_balancer.gateway.load_reports import parse_load_report_header
-from load_balancer.gateway.request_ledger import PendingRequest, RequestLedger
+from load_balancer.gateway.request_tracker import PendingRequest, RequestTracker
 from load_balancer.gateway.upstream_pool import EndpointId, UpstreamPool
 
 
@@ -39,7 +39,7 @@
 
     def __init__(
         self,
-        ledger: RequestLedger,
+        request_tracker: RequestTracker,
         upstream: UpstreamPool,
         clock: Clock,
         dispatch: Callable[[Event], None],
@@ -47,7 +47,7 @@
         reads_load_reports: bool,
     ) -> None:
         self.reads_load_reports = reads_load_reports
-        self._ledger = ledger
+        self._request_tracker = request_tracker
         self._upstream = upstream
         self._clock = clock
         self._dispatch = dispatch
@@ -57,8 +57,8 @@
         number = len(request.attempts)
         sent_us = self._clock.now_us()
         timeout_us = min(action.timeout_us, request.deadline_us - sent_us)
-        exhausted = number >= request.settings_version.settings.max_attempts
-        if not self._ledger.is_wanted(request) or timeout_us <= 0 or exhausted:
+        is_limit_reached = number >= request.settings_version.settings.max_attempts
+        if not self._request_tracker.is_wanted(request) or timeout_us <= 0 or is_limit_reached:
             request.attempts.append(None)
             self._dispatch(
                 AttemptEnded(request.id, number, action.endpoint_id, Outcome.NOT_SENT, 0, request.is_closed)
@@ -71,7 +71,7 @@
             request.client_request.encode(timeout_us),
             timeout_us / 1e6,
             partial(self._attempt_ended, sent),
-            partial(self._ledger.is_wanted, request),
+            partial(self._request_tracker.is_wanted, request),
         )
         request.attempts.append(attempt)
 
@@ -80,7 +80,7 @@
         request.attempts_in_flight -= 1
         latency_us = self._clock.now_us() - sent.sent_us
         if outcome is Outcome.OK and response is not None:
-            self._ledger.answer(request, response)
+            self._request_tracker.answer(request, response)
         self._dispatch(
             AttemptEnded(
                 request.id,
@@ -92,7 +92,7 @@
                 self._load_report(response),
             )
         )
-        self._ledger.forget_if_over(request)
+        self._request_tracker.remove_if_finished(request)
 
     def _load_report(self, response: Response | None) -> LoadReport:
         if response is None or not self.reads_load_reports:
--- a/load_balancer/gateway/client_connection.py
+++ b/load_balancer/gateway/client_connection.py
@@ -11,9 +11,9 @@
 from load_balancer.gateway.http_message import BODY_LIMIT, HttpRequestError, Response, text_response
 from load_balancer.gateway.incoming_request import IncomingRequest, RequestReader
 from load_balancer.gateway.lingering_close import LingeringClose
-from load_balancer.gateway.proxy import Proxy
-from load_balancer.gateway.request_ledger import PendingRequest
 from load_balancer.gateway.request_parsing import RequestLookup, parse_request
+from load_balancer.gateway.request_tracker import PendingRequest
+from load_balancer.gateway.reverse_proxy import ReverseProxy
 from load_balancer.gateway.socket_state import has_peer_closed
 
 PIPELINE_LIMIT = 8  # requests queued on one connection
@@ -32,7 +32,7 @@
     """
 
     loop: asyncio.AbstractEventLoop
-    proxy: Proxy
+    proxy: ReverseProxy
     lookup: RequestLookup
     draining: bool
 
@@ -78,7 +78,7 @@
     @property
     def is_idle(self) -> bool:
         """Whether nothing is being read, served or closed."""
-        return self._has_nothing_to_answer and not self.reader.is_mid_request
+        return self._has_nothing_to_answer and not self.reader.has_partial_request
 
     @property
     def is_evictable(self) -> bool:
@@ -86,9 +86,9 @@
         return self.is_idle and not self.is_closing_when_idle and not self.reader.is_stopped
 
     @property
-    def is_mid_only_request(self) -> bool:
+    def has_only_partial_request(self) -> bool:
         """Whether a part of a request has come, and nothing else is to be answered."""
-        return self._has_nothing_to_answer and self.reader.is_mid_request
+        return self._has_nothing_to_answer and self.reader.has_partial_request
 
     @property
     def _has_nothing_to_answer(self) -> bool:
@@ -145,7 +145,7 @@
         self.waiting.clear()
         pending, self._pending, self.current = self._pending, None, None
         if pending is not None:
-            self._owner.proxy.ledger.client_disconnected(pending)
+            self._owner.proxy.request_tracker.client_disconnected(pending)
 
     # RequestListener
 
@@ -157,7 +157,7 @@
     def request_received(self, request: IncomingRequest) -> None:
         """Queue a request."""
         self.waiting.append(request)
-        if len(self.waiting) > PIPELINE_LIMIT or sum(ahead.size for ahead in self.waiting) > BODY_LIMIT:
+        if len(self.waiting) > PIPELINE_LIMIT or sum(queued.size for queued in self.waiting) > BODY_LIMIT:
             self.reader.fail(HttpRequestError(503, "too many requests ahead of their turn"))
 
     # Requests, one at a time
@@ -198,8 +198,8 @@
         if incoming is not self.current:  # its client has disconnected, or it has been answered
             return
         # The connection is not closed while a request that has been read waits for its answer.
-        ends_here = (self.is_over_limit or self._owner.draining) and not self.waiting
-        close = not incoming.keep_alive or ends_here
+        is_last_answer = (self.is_over_limit or self._owner.draining) and not self.waiting
+        close = not incoming.keep_alive or is_last_answer
         self.current = self._pending = None
         self.write(response.encode(close=close, without_body=incoming.method == b"HEAD"))
         self.last_activity = self._owner.loop.time()
@@ -215,11 +215,11 @@
 
     # Closing
 
-    def close_when_idle(self, turns: int = 2) -> None:
+    def close_when_idle(self, loop_iterations: int = 2) -> None:
         """Close after some turns of the loop, in which a request that waits in the socket is read first."""
-        self.is_closing_when_idle = turns > 0
-        if turns > 0:
-            self._owner.loop.call_soon(self.close_when_idle, turns - 1)
+        self.is_closing_when_idle = loop_iterations > 0
+        if loop_iterations > 0:
+            self._owner.loop.call_soon(self.close_when_idle, loop_iterations - 1)
         elif self.is_idle:
             if self.is_over_limit:
                 self.write(TOO_MANY_CONNECTIONS.encode(close=True))
--- a/load_balancer/gateway/client_server.py
+++ b/load_balancer/gateway/client_server.py
@@ -9,8 +9,8 @@
 from load_balancer.config.steps import run_to_completion
 from load_balancer.gateway.client_connection import TOO_MANY_CONNECTIONS, ClientConnection
 from load_balancer.gateway.http_message import HttpRequestError
-from load_balancer.gateway.proxy import Proxy
 from load_balancer.gateway.request_parsing import lookup_steps
+from load_balancer.gateway.reverse_proxy import ReverseProxy
 from load_balancer.gateway.socket_budget import RESERVED_SOCKETS, client_connection_limit
 
 BACKLOG = 1024
@@ -18,11 +18,11 @@
 
 # Connections over the limit on which requests are read, so that they are answered 503 or whether the gateway
 # is ready; and connections beyond these, until those that were chosen to make room have closed.
-REJECTED_CONNECTIONS = RESERVED_SOCKETS // 2
-CLOSING_CONNECTIONS = RESERVED_SOCKETS // 8
+MAX_REJECTED_CONNECTIONS = RESERVED_SOCKETS // 2
+EVICTION_HEADROOM_CONNECTIONS = RESERVED_SOCKETS // 8
 
 IDLE_TIMEOUT_S = 75.0
-EVICTION_IDLE_S = 2.0  # after which an idle connection may be closed to make room for another
+MIN_EVICTION_IDLE_S = 2.0  # after which an idle connection may be closed to make room for another
 # A client that sends nothing, or never the whole of a request, is answered within 3 s of connecting.
 FIRST_REQUEST_TIMEOUT_S = 2.1  # from connecting to the last byte of the first request
 REQUEST_READ_TIMEOUT_S = 2.1  # from the first byte of a later request to its last, however slowly it comes
@@ -40,17 +40,17 @@
 
     Attributes:
         lookup: Indexes of classes and tenants by name.
-        limit: How many connections are served at once.
+        max_connections: How many connections are served at once.
         connections: All open connections.
         draining: Whether a graceful shutdown has begun.
         listener: None until the start.
     """
 
-    def __init__(self, config: Config, proxy: Proxy, loop: asyncio.AbstractEventLoop) -> None:
+    def __init__(self, config: Config, proxy: ReverseProxy, loop: asyncio.AbstractEventLoop) -> None:
         self.proxy = proxy
         self.loop = loop
         self.lookup = run_to_completion(lookup_steps(config))
-        self.limit = client_connection_limit(config.max_sockets)
+        self.max_connections = client_connection_limit(config.max_sockets)
         self.connections: set[ClientConnection] = set()
         self.draining = False
         self.listener: asyncio.Server | None = None
@@ -77,24 +77,24 @@
         those that are answered 503, the oldest that has sent no request is closed first. So any number
         of idle clients cannot block a readiness check on a new connection.
         """
-        excess = len(self.connections) - self.limit
+        excess = len(self.connections) - self.max_connections
         if excess >= 0:
-            self._make_room(connection, excess)
+            self._evict_or_reject(connection, excess)
         self.connections.add(connection)
 
     def discard(self, connection: ClientConnection) -> None:
         """Forget a connection that is closed."""
         self.connections.discard(connection)
 
-    def _make_room(self, connection: ClientConnection, excess: int) -> None:
-        idle_since = self.loop.time() - EVICTION_IDLE_S
+    def _evict_or_reject(self, connection: ClientConnection, excess: int) -> None:
+        idle_since = self.loop.time() - MIN_EVICTION_IDLE_S
         evictable = [
             open_connection
             for open_connection in self.connections
             if open_connection.is_evictable and open_connection.last_activity <= idle_since
         ]
         connection.is_over_limit = not evictable
-        if excess >= REJECTED_CONNECTIONS and not evictable:
+        if excess >= MAX_REJECTED_CONNECTIONS and not evictable:
             evictable = [
                 open_connection
                 for open_connection in self.connections
@@ -104,7 +104,7 @@
             ]
         if evictable:
             min(evictable, key=attrgetter("last_activity")).close_when_idle()
-        if excess >= REJECTED_CONNECTIONS + (CLOSING_CONNECTIONS if evictable else 0):
+        if excess >= MAX_REJECTED_CONNECTIONS + (EVICTION_HEADROOM_CONNECTIONS if evictable else 0):
             connection.write(TOO_MANY_CONNECTIONS.encode(close=True))
             connection.close()
 
@@ -117,7 +117,10 @@
             if connection.is_idle:
                 if self._is_past_idle_timeout(connection, now):
                     connection.close_when_idle()
-            elif connection.is_mid_only_request and now - connection.reader.began_at > REQUEST_READ_TIMEOUT_S:
+            elif (
+                connection.has_only_partial_request
+                and now - connection.reader.began_at > REQUEST_READ_TIMEOUT_S
+            ):
                 connection.reject_partial_request(
                     HttpRequestError(408, "the rest of the request has not come")
                 )
@@ -151,14 +154,14 @@
         while self.connections:
             waited_s = self.loop.time() - began
             for connection in list(self.connections):
-                self._close_if_over(connection, waited_s)
+                self._close_if_finished(connection, waited_s)
             await asyncio.sleep(SHUTDOWN_POLL_S)
 
-    def _close_if_over(self, connection: ClientConnection, waited_s: float) -> None:
+    def _close_if_finished(self, connection: ClientConnection, waited_s: float) -> None:
         if waited_s > UNREAD_ANSWER_GRACE_S and not connection.has_pending_answer:
             connection.abort()
         elif connection.is_idle:
             connection.close_when_idle()
-        elif connection.is_mid_only_request and waited_s > PARTIAL_REQUEST_GRACE_S:
+        elif connection.has_only_partial_request and waited_s > PARTIAL_REQUEST_GRACE_S:
             # Answered rather than closed: the rest may have arrived by now and would be lost.
             connection.reject_partial_request(HttpRequestError(503, "ending; trying again is harmless"))
--- a/load_balancer/gateway/discovery.py
+++ b/load_balancer/gateway/discovery.py
@@ -65,7 +65,7 @@
         self._endpoints_are_pushed = endpoints_are_pushed
         self._cached: dict[str, DiscoveredEndpoint] = {}
         self._is_subscribed = False
-        self._failures_in_a_row = 0
+        self._consecutive_failures = 0
         self._index = 0
         self._polls: set[DiscoveryCall] = set()
 
@@ -130,8 +130,8 @@
         self.on_watch_event(WatchEvent(ListKind.ERROR))
 
     def _reopen_after_backoff(self) -> None:
-        backoff_s = min(REOPEN_BACKOFF_S * 2**self._failures_in_a_row, REOPEN_BACKOFF_MAX_S)
-        self._failures_in_a_row = min(self._failures_in_a_row + 1, MAX_COUNTED_FAILURES)
+        backoff_s = min(REOPEN_BACKOFF_S * 2**self._consecutive_failures, REOPEN_BACKOFF_MAX_S)
+        self._consecutive_failures = min(self._consecutive_failures + 1, MAX_COUNTED_FAILURES)
         self._loop.call_later(backoff_s * random.uniform(0.5, 1.0), self.set_subscribed, True)
 
     def _on_message(self, data: bytes) -> bool:
@@ -139,11 +139,11 @@
         try:
             event = decode_list(data, self._names, self._cached)
         except DiscoveryFormatError as error:
-            shown = f"{data!r:.{LOGGED_MESSAGE_CHARACTERS}}"
-            log_event("discovery.message_skipped", error=error, payload=shown)
+            payload = f"{data!r:.{LOGGED_MESSAGE_CHARACTERS}}"
+            log_event("discovery.message_skipped", error=error, payload=payload)
             return False
         self._index = event.index
-        self._failures_in_a_row = 0
+        self._consecutive_failures = 0
         self._polls = {call for call in self._polls if not call.is_closed}
         self._publish(event)
         return True
--- a/load_balancer/gateway/discovery_call.py
+++ b/load_balancer/gateway/discovery_call.py
@@ -17,7 +17,7 @@
 # A watch brings a line every 2 s; without a limit, one whose peer vanished would go unnoticed. Only the end
 # of a head, a message or an empty line and the first byte of a further message restart the timer, as a peer
 # that sends a byte now and then makes no progress.
-SILENCE_TIMEOUT_S = 3.0
+INACTIVITY_TIMEOUT_S = 3.0
 MAX_MESSAGE_BYTES = 8 * 1024 * 1024
 
 
@@ -51,14 +51,14 @@
         self._on_failure = on_failure
         self._parser = httptools.HttpResponseParser(self)
         self._transport: asyncio.Transport | None = None
-        self._silence_timer: asyncio.TimerHandle | None = None
+        self._inactivity_timer: asyncio.TimerHandle | None = None
         self._connect_task = loop.create_task(self._connect())
 
     def close(self) -> None:
         """End the call without a report."""
         self.is_closed = True
-        if self._silence_timer is not None:
-            self._silence_timer.cancel()
+        if self._inactivity_timer is not None:
+            self._inactivity_timer.cancel()
         if self._transport is not None:
             self._transport.abort()
 
@@ -76,10 +76,12 @@
         log_event("discovery.call_failed", reason=reason)
         self._on_failure(self)
 
-    def _restart_silence_timer(self) -> None:
-        if self._silence_timer is not None:
-            self._silence_timer.cancel()
-        self._silence_timer = self._loop.call_later(SILENCE_TIMEOUT_S, self._fail, "silent for too long")
+    def _restart_inactivity_timer(self) -> None:
+        if self._inactivity_timer is not None:
+            self._inactivity_timer.cancel()
+        self._inactivity_timer = self._loop.call_later(
+            INACTIVITY_TIMEOUT_S, self._fail, "silent for too long"
+        )
 
     # Called by the transport
 
@@ -91,7 +93,7 @@
             return
         host, port = self._address
         self._transport.write(f"GET {self._target} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode())
-        self._restart_silence_timer()
+        self._restart_inactivity_timer()
 
     def data_received(self, data: bytes) -> None:
         """Parse a piece of the response."""
@@ -113,7 +115,7 @@
         if status != 200:
             self._fail(f"answered {status}")
         elif not self.is_closed:
-            self._restart_silence_timer()
+            self._restart_inactivity_timer()
 
     def on_body(self, body: bytes) -> None:
         """Read a piece of the response's body."""
@@ -158,7 +160,7 @@
             if not self.is_closed:  # the message before may have closed the call
                 self._on_message(message)
         if not self.is_closed and (begins_message or splitter.completed > completed_before):
-            self._restart_silence_timer()
+            self._restart_inactivity_timer()
         return splitter.buffered_bytes
 
     def _conclude(self) -> None:
--- a/load_balancer/gateway/discovery_messages.py
+++ b/load_balancer/gateway/discovery_messages.py
@@ -130,14 +130,14 @@
     cached = cached or {}
     is_complete = bool(raw.get("snapshot", True))
     fallback = cached if is_complete else {}
-    parsed = [_parse_or_keep(item, names, fallback) for item in raw["endpoints"]]
+    parsed = [_parse_or_fall_back(item, names, fallback) for item in raw["endpoints"]]
     endpoints = tuple(entry for entry in parsed if entry is not None)
     if is_complete and cached and not endpoints:
         raise DiscoveryFormatError("a complete list without an endpoint")
     return WatchEvent(complete_kind if is_complete else ListKind.DELTA, endpoints, _parse_index(raw))
 
 
-def _parse_or_keep(
+def _parse_or_fall_back(
     item: Any, names: NameTable, fallback: Mapping[str, DiscoveredEndpoint]
 ) -> DiscoveredEndpoint | None:
     """Read an entry; where that fails, return the fallback of the same name if there is one."""
@@ -197,12 +197,12 @@
 
     def _add_line(self, line: bytes) -> list[bytes]:
         """Return the objects that end with this line, and malformed text that ends before it."""
-        depth = _unclosed(line)
+        depth = _count_unclosed(line)
         is_empty = not line.strip()
         # Neither a complete list on a line of its own nor an empty line occurs within another object.
         is_list = depth == 0 and line.startswith(b"{") and b'"endpoints"' in line
         if self._message_lines and (is_list or is_empty):
-            return [self._take_message(), *self._add_line(line)]
+            return [self._pop_message(), *self._add_line(line)]
         if is_empty:
             self.completed += 1
             return []
@@ -212,9 +212,9 @@
         if self._depth > 0:
             return []
         self.completed += 1
-        return [self._take_message()]
+        return [self._pop_message()]
 
-    def _take_message(self) -> bytes:
+    def _pop_message(self) -> bytes:
         message = b"\n".join(self._message_lines)
         self._message_lines = []
         self._message_bytes = 0
@@ -222,7 +222,7 @@
         return message
 
 
-def _unclosed(line: bytes) -> int:
+def _count_unclosed(line: bytes) -> int:
     """Return how many more braces and brackets a line opens than it closes, outside of its strings."""
     outside = JSON_STRING.sub(b"", line)
     opened = outside.count(b"{") + outside.count(b"[")
--- a/load_balancer/gateway/event_log.py
+++ b/load_balancer/gateway/event_log.py
@@ -25,7 +25,7 @@
 LOGGER_NAME = "load_balancer"
 MAX_VALUE_CHARACTERS = 300  # of a field, as values from outside may be of any length
 # Keys of an event's dictionary that are not among its fields.
-NOT_FIELDS = frozenset(("event", "exc_info", "exception", "_record", "_from_structlog"))
+NON_FIELD_KEYS = frozenset(("event", "exc_info", "exception", "_record", "_from_structlog"))
 
 
 def log_event(name: str, /, **fields: object) -> None:
@@ -100,10 +100,10 @@
 def format_sentence(event_dict: Mapping[str, Any]) -> str:
     """Return an event's sentence, followed by the fields that this does not hold as `key=value`."""
     event = EVENTS[event_dict["event"]]
-    shown = event.sentence_fields | NOT_FIELDS
-    rest = {name: value for name, value in event_dict.items() if name not in shown}
+    excluded = event.sentence_fields | NON_FIELD_KEYS
+    other_fields = {name: value for name, value in event_dict.items() if name not in excluded}
     sentence = event.sentence.format_map(event_dict)
-    return f"{sentence} {LogfmtRenderer()(None, '', rest)}" if rest else sentence
+    return f"{sentence} {LogfmtRenderer()(None, '', other_fields)}" if other_fields else sentence
 
 
 # Processors of structlog, whose signature they share
--- a/load_balancer/gateway/health_checks.py
+++ b/load_balancer/gateway/health_checks.py
@@ -31,10 +31,10 @@
         with_report = settings.load_reports.mode is not LoadReportMode.NONE
         sent_us = self._clock.now_us()
 
-        def ended(outcome: Outcome, response: Response | None) -> None:
+        def on_end(outcome: Outcome, response: Response | None) -> None:
             report = parse_load_report_header(response.body) if with_report and response is not None else ()
             self._dispatch(HealthCheckEnded(endpoint_id, outcome, self._clock.now_us() - sent_us, report))
 
         path = LOAD_REPORT_PATH if with_report else HEALTH_CHECK_PATH
         payload = b"GET %b HTTP/1.1\r\nHost: %b\r\n\r\n" % (path, self._upstream.authority(endpoint_id))
-        self._upstream.send(endpoint_id, payload, HEALTH_CHECK_TIMEOUT_S, ended)
+        self._upstream.send(endpoint_id, payload, HEALTH_CHECK_TIMEOUT_S, on_end)
--- a/load_balancer/gateway/incoming_request.py
+++ b/load_balancer/gateway/incoming_request.py
@@ -56,7 +56,7 @@
     Attributes:
         is_stopped: Whether anything that still comes is ignored: the framing is lost, or there is to be no
             further request.
-        is_mid_request: Whether a request has been received in part.
+        has_partial_request: Whether a request has been received in part.
         has_read_request: Whether a complete request has been received.
         began_at: Loop time at which the current request began: for the first one that of connecting, for
             later ones that of their first byte.
@@ -64,7 +64,7 @@
 
     def __init__(self, listener: RequestListener, now: Callable[[], float]) -> None:
         self.is_stopped = False
-        self.is_mid_request = False
+        self.has_partial_request = False
         self.has_read_request = False
         self.began_at = now()
         self._listener = listener
@@ -75,7 +75,7 @@
 
     def feed(self, data: bytes) -> None:
         """Parse a piece of the client's bytes."""
-        if self._head_bytes is None and not self.is_mid_request:
+        if self._head_bytes is None and not self.has_partial_request:
             self._head_bytes = 0
         if self._head_bytes is not None:
             self._head_bytes += len(data)
@@ -103,7 +103,7 @@
     def on_message_begin(self) -> None:
         """Begin a request."""
         self._request = IncomingRequest()
-        self.is_mid_request = True
+        self.has_partial_request = True
         if self.has_read_request:
             self.began_at = self._now()
 
@@ -137,7 +137,7 @@
 
     def on_message_complete(self) -> None:
         """End the request."""
-        self.is_mid_request = False
+        self.has_partial_request = False
         self.has_read_request = True
         self._head_bytes = 0
         if self.is_stopped:
--- a/load_balancer/gateway/lingering_close.py
+++ b/load_balancer/gateway/lingering_close.py
@@ -18,14 +18,14 @@
         self._loop = loop
         self._transport = transport
         transport.write_eof()
-        self._wait()
+        self._schedule_close()
 
-    def _wait(self) -> None:
+    def _schedule_close(self) -> None:
         self._loop.call_later(LINGER_S, self.close_if_sent)
 
     def close_if_sent(self) -> None:
         """Close, unless a part of the answer is still to be sent."""
         if self._transport.get_write_buffer_size() > 0:
-            self._wait()
+            self._schedule_close()
         else:
             self._transport.abort()
--- a/load_balancer/gateway/log_events_page.py
+++ b/load_balancer/gateway/log_events_page.py
@@ -55,12 +55,12 @@
         getLevelName(event.level).lower(),
         _code(event.sentence),
         event.meaning,
-        _listed(event.fields),
-        _listed(event.key),
+        _code_list(event.fields),
+        _code_list(event.key),
     )
 
 
-def _listed(names: tuple[str, ...]) -> str:
+def _code_list(names: tuple[str, ...]) -> str:
     return ", ".join(map(_code, names)) or "-"
 
 
--- a/load_balancer/gateway/log_fields.py
+++ b/load_balancer/gateway/log_fields.py
@@ -6,10 +6,10 @@
 
 from load_balancer.config.gateway_config import NameTable
 from load_balancer.decisions.settings_version import SettingsVersion
-from load_balancer.gateway.request_ledger import PendingRequest
+from load_balancer.gateway.request_tracker import PendingRequest
 
 
-class LogFields:
+class LogFieldResolver:
     """Makes the fields of log events.
 
     Attributes:
@@ -53,11 +53,11 @@
             resolved["address"] = address.decode()
         return resolved
 
-    def of_request(self, request: PendingRequest) -> dict[str, object]:
+    def for_request(self, request: PendingRequest) -> dict[str, object]:
         """Return the fields of a request."""
         return self.resolve(_request_fields(request.id, request).items())
 
-    def of_subject(self, subject: object, pending: Mapping[str, PendingRequest]) -> dict[str, object]:
+    def for_subject(self, subject: object, pending: Mapping[str, PendingRequest]) -> dict[str, object]:
         """Return the fields of the request and the endpoint that an event or an action concerns, if known."""
         request_id = getattr(subject, "request_id", None)
         request = pending.get(request_id) if request_id is not None else None
--- a/load_balancer/gateway/peers.py
+++ b/load_balancer/gateway/peers.py
@@ -22,14 +22,14 @@
         transport: None until it is open.
     """
 
-    def __init__(self, received: Callable[[bytes, Address], None]) -> None:
+    def __init__(self, on_message: Callable[[bytes, Address], None]) -> None:
         """Create a channel that is not open.
 
         Args:
-            received: Called with each message that is not too long, and its sender.
+            on_message: Called with each message that is not too long, and its sender.
         """
         self.transport: asyncio.DatagramTransport | None = None
-        self._received = received
+        self._on_message = on_message
 
     async def open(self, loop: asyncio.AbstractEventLoop, listen: Address) -> None:
         """Begin to receive messages at an address.
@@ -39,7 +39,7 @@
         """
         self.transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=listen)
 
-    def send(self, data: bytes, to: Address | None) -> None:
+    def send(self, data: bytes, receiver: Address | None) -> None:
         """Send a message, if the channel is open and there is a receiver.
 
         Raises:
@@ -47,8 +47,8 @@
         """
         if len(data) > PEER_MESSAGE_LIMIT:
             raise PeerMessageError(f"a message of {len(data)} bytes is too long")
-        if self.transport is not None and to is not None:
-            self.transport.sendto(data, to)
+        if self.transport is not None and receiver is not None:
+            self.transport.sendto(data, receiver)
 
     def close(self) -> None:
         """Close the socket."""
@@ -58,4 +58,4 @@
     def datagram_received(self, data: bytes, addr: Address) -> None:
         """Pass on a message unless it is too long."""
         if len(data) <= PEER_MESSAGE_LIMIT:
-            self._received(data, addr)
+            self._on_message(data, addr)
--- a/load_balancer/gateway/reload.py
+++ b/load_balancer/gateway/reload.py
@@ -17,8 +17,8 @@
 from load_balancer.decisions.settings_version import SettingsVersion, next_version
 from load_balancer.gateway.client_server import ClientServer
 from load_balancer.gateway.event_log import log_event
-from load_balancer.gateway.proxy import Proxy
 from load_balancer.gateway.request_parsing import lookup_steps
+from load_balancer.gateway.reverse_proxy import ReverseProxy
 
 Result = TypeVar("Result")
 
@@ -56,7 +56,9 @@
 
 def restart_only_changes(before: Config, after: Config) -> list[RestartOnlySetting]:
     """Return the settings that differ between two configurations and that only a new process can change."""
-    return [each for each in RESTART_ONLY_SETTINGS if each.value_in(before) != each.value_in(after)]
+    return [
+        setting for setting in RESTART_ONLY_SETTINGS if setting.value_in(before) != setting.value_in(after)
+    ]
 
 
 class ConfigReloader:
@@ -75,7 +77,7 @@
     def __init__(
         self,
         config: Config,
-        proxy: Proxy,
+        proxy: ReverseProxy,
         client_server: ClientServer,
         environ: Mapping[str, str] = os.environ,
     ) -> None:
--- a/load_balancer/gateway/repeat_counter.py
+++ b/load_balancer/gateway/repeat_counter.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True)
-class Window:
+class RepeatWindow:
     """The second after an event was written, in which its repeats are counted.
 
     Attributes:
@@ -50,7 +50,7 @@
     """
 
     def __init__(self, write: EventWriter, get_loop: Callable[[], asyncio.AbstractEventLoop]) -> None:
-        self.windows: dict[EventKey, Window] = {}
+        self.windows: dict[EventKey, RepeatWindow] = {}
         self._write = write
         self.get_loop = get_loop
         self._loop: asyncio.AbstractEventLoop | None = None
@@ -77,7 +77,7 @@
         if window is not None:
             _count_repeat(window, fields)
         elif len(self.windows) < MAX_COUNTED_KEYS:
-            self.windows[key] = Window(event, now + WINDOW_S)
+            self.windows[key] = RepeatWindow(event, now + WINDOW_S)
             self._write(event, fields)
         else:
             self._count_overflow(event, now)
@@ -117,14 +117,14 @@
             self._write_overflow()
         self._start_timer(loop, now)
 
-    def _close_window(self, key: EventKey, window: Window, now: float) -> None:
+    def _close_window(self, key: EventKey, window: RepeatWindow, now: float) -> None:
         """Write the window's repeats; a window that had some is followed by another."""
         del self.windows[key]
         if window.repeated:
             self._write_repeats(window)
-            self.windows[key] = Window(window.event, now + WINDOW_S)
+            self.windows[key] = RepeatWindow(window.event, now + WINDOW_S)
 
-    def _write_repeats(self, window: Window) -> None:
+    def _write_repeats(self, window: RepeatWindow) -> None:
         if window.repeated:
             self._write(window.event, window.last_fields | {"repeated": window.repeated})
 
@@ -136,7 +136,7 @@
         self._overflow.clear()
 
 
-def _count_repeat(window: Window, fields: Fields) -> None:
+def _count_repeat(window: RepeatWindow, fields: Fields) -> None:
     window.repeated += 1
     fields.pop("exc_info", None)  # it holds the frames, and the traceback has been written once
     window.last_fields = fields
--- a/load_balancer/gateway/request_parsing.py
+++ b/load_balancer/gateway/request_parsing.py
@@ -16,7 +16,7 @@
 REQUEST_TIMEOUT_LIMIT_MS = 3_600_000
 REQUEST_ID_LIMIT = 128  # characters
 # Headers that may occur only once: of two values, the gateway and an endpoint might use different ones.
-SINGLE_HEADERS = frozenset((b"request-id", b"request-class", b"tenant", b"request-timeout-ms"))
+SINGLETON_HEADERS = frozenset((b"request-id", b"request-class", b"tenant", b"request-timeout-ms"))
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,21 +74,21 @@
         HttpRequestError: The request is malformed, or names an unknown class or tenant.
     """
     headers = _headers_by_name(incoming.headers)
-    request_class = _request_class(incoming.target, headers, lookup)
+    request_class = _find_request_class(incoming.target, headers, lookup)
     _check_method(incoming, headers, lookup.config.settings.classes[request_class].idempotency)
     _check_request_id(headers.get(b"request-id", b""))
     return ClientRequest(
         request_class=request_class,
-        timeout_us=_timeout_ms(headers) * 1000,
+        timeout_us=_parse_timeout_ms(headers) * 1000,
         waited_us=int((now - incoming.received_at) * 1e6),
         method=incoming.method,
         target=incoming.target,
-        headers=_end_to_end(incoming.headers, headers.get(b"connection", b"")),
+        headers=_encode_end_to_end_headers(incoming.headers, headers.get(b"connection", b"")),
         body=b"".join(incoming.body),
-        key=_affinity_key(incoming.target),
-        work_us=_parse_whole(headers.get(b"work-hint", b"")),
+        key=_parse_affinity_key(incoming.target),
+        work_us=_parse_integer(headers.get(b"work-hint", b"")),
         is_retry=headers.get(b"client-retry") == b"1",
-        tenant=_tenant(headers, lookup),
+        tenant=_find_tenant(headers, lookup),
         is_write=b"isWrite=1" in headers.get(b"request-info", b"").split(b","),
     )
 
@@ -97,18 +97,18 @@
     by_name: dict[bytes, bytes] = {}
     for name, value in headers:
         lower = name.lower()
-        if lower in by_name and lower in SINGLE_HEADERS:
+        if lower in by_name and lower in SINGLETON_HEADERS:
             raise HttpRequestError(400, f"{name.decode('latin-1')} is given twice")
         by_name[lower] = value
     return by_name
 
 
-def _request_class(target: bytes, headers: dict[bytes, bytes], lookup: RequestLookup) -> int:
-    first = target.partition(b"?")[0].split(b"/")[1:2]
+def _find_request_class(target: bytes, headers: dict[bytes, bytes], lookup: RequestLookup) -> int:
+    first_segment = target.partition(b"?")[0].split(b"/")[1:2]
     name = headers.get(b"request-class", b"")
-    if not first or first[0] not in lookup.classes or name not in lookup.classes:
+    if not first_segment or first_segment[0] not in lookup.classes or name not in lookup.classes:
         raise HttpRequestError(404, "unknown path or class")
-    if first[0] != name:
+    if first_segment[0] != name:
         raise HttpRequestError(400, "path and Request-Class name different classes")
     return lookup.classes[name]
 
@@ -126,14 +126,14 @@
         raise HttpRequestError(400, "Request-Id is missing or malformed")
 
 
-def _timeout_ms(headers: dict[bytes, bytes]) -> int:
-    timeout_ms = _parse_whole(headers.get(b"request-timeout-ms", b""))
+def _parse_timeout_ms(headers: dict[bytes, bytes]) -> int:
+    timeout_ms = _parse_integer(headers.get(b"request-timeout-ms", b""))
     if timeout_ms is None or not 0 < timeout_ms <= REQUEST_TIMEOUT_LIMIT_MS:
         raise HttpRequestError(400, "Request-Timeout-Ms is missing or malformed")
     return timeout_ms
 
 
-def _tenant(headers: dict[bytes, bytes], lookup: RequestLookup) -> int:
+def _find_tenant(headers: dict[bytes, bytes], lookup: RequestLookup) -> int:
     tenants = lookup.tenants
     tenant = tenants.get(headers.get(b"tenant", b""), None if tenants else 0)
     if tenant is None:
@@ -141,17 +141,17 @@
     return tenant
 
 
-def _end_to_end(headers: list[Header], connection: bytes) -> bytes:
+def _encode_end_to_end_headers(headers: list[Header], connection: bytes) -> bytes:
     """Return the end-to-end headers as lines, without hop-by-hop headers and those that Connection names."""
-    left_out = HOP_BY_HOP_HEADERS.union(name.strip().lower() for name in connection.split(b","))
-    return b"".join(b"%b: %b\r\n" % header for header in headers if header[0].lower() not in left_out)
+    excluded = HOP_BY_HOP_HEADERS.union(name.strip().lower() for name in connection.split(b","))
+    return b"".join(b"%b: %b\r\n" % header for header in headers if header[0].lower() not in excluded)
 
 
-def _parse_whole(text: bytes) -> int | None:
+def _parse_integer(text: bytes) -> int | None:
     return int(text) if text.isdigit() and len(text) < 19 else None
 
 
-def _affinity_key(target: bytes) -> int | None:
+def _parse_affinity_key(target: bytes) -> int | None:
     """Return a number for the user that a request concerns, the same at every gateway."""
     query = target.partition(b"?")[2]
     if not query:
--- a/load_balancer/gateway/request_ledger.py
+++ b/load_balancer/gateway/request_tracker.py
@@ -18,7 +18,7 @@
 # Subtracted from the client's timeout for the transit of the request and of its answer.
 TRANSIT_US = 4_000
 # After the balancer's own deadline and before the client's, for a request that nothing else has answered.
-LAST_RESORT_DELAY_US = 2_000
+DEADLINE_TIMER_DELAY_US = 2_000
 
 AnswerCallback = Callable[[Response], None]
 
@@ -35,7 +35,7 @@
         deadline_us: Time at which its client gives up, less the time for transit.
         send_answer: None once it has had its final answer or its client has disconnected.
         has_disconnected: Whether its client's connection has ended, read by the loop or not.
-        last_resort: The timer that answers it if nothing else does.
+        deadline_timer: The timer that answers it if nothing else does.
         attempts: By number; None for one that was never started.
         attempts_in_flight: Attempts whose outcome is not known yet.
     """
@@ -48,7 +48,7 @@
     deadline_us: int
     send_answer: AnswerCallback | None
     has_disconnected: Callable[[], bool]
-    last_resort: asyncio.TimerHandle | None = None
+    deadline_timer: asyncio.TimerHandle | None = None
     attempts: list[UpstreamAttempt | None] = field(default_factory=list)
     attempts_in_flight: int = 0
 
@@ -57,7 +57,7 @@
         """Whether it needs no answer any more: it was answered or its client has disconnected."""
         return self.send_answer is None
 
-    def arrival(self) -> RequestArrived:
+    def arrival_event(self) -> RequestArrived:
         """Return the event that notifies the balancer of it."""
         client_request = self.client_request
         return RequestArrived(
@@ -72,7 +72,7 @@
         )
 
 
-class RequestLedger:
+class RequestTracker:
     """Tracks the accepted requests until they are answered and their attempts have ended.
 
     Attributes:
@@ -135,11 +135,11 @@
         )
         self.pending[request.id] = request
         self.unanswered += 1
-        delay_s = (remaining_us + LAST_RESORT_DELAY_US) / 1e6
+        delay_s = (remaining_us + DEADLINE_TIMER_DELAY_US) / 1e6
         # A turn of the loop later: where an attempt's time-out comes due in the same turn, it is reported
         # first and the balancer answers.
-        request.last_resort = self._loop.call_later(
-            delay_s, self._loop.call_soon, self.answer_at_last_resort, request
+        request.deadline_timer = self._loop.call_later(
+            delay_s, self._loop.call_soon, self.answer_deadline_exceeded, request
         )
         return request
 
@@ -162,7 +162,7 @@
         if not request.is_closed:
             self._close_request(request)
             self._dispatch(ClientDisconnected(request.id))
-            self.forget_if_over(request)
+            self.remove_if_finished(request)
 
     def answer(self, request: PendingRequest, response: Response) -> None:
         """Send the final answer, if it is still pending."""
@@ -176,36 +176,36 @@
         request = self.pending.get(request_id)
         if request is not None:
             self.answer(request, response)
-            self.forget_if_over(request)
+            self.remove_if_finished(request)
 
     def answer_internal_error(self, request_id: str | None) -> None:
         """Answer a request that an exception concerns, and have the balancer drop it."""
         request = self.get(request_id)
         if request is not None:
-            self._answer_and_drop(request, text_response(500, "internal error"))
+            self._answer_and_remove(request, text_response(500, "internal error"))
 
-    def answer_at_last_resort(self, request: PendingRequest) -> None:
+    def answer_deadline_exceeded(self, request: PendingRequest) -> None:
         """Answer a request that nothing else has answered when its client is about to give up."""
         if not request.is_closed:
             log_event("request.deadline_exceeded", **self._log_fields(request))
-            self._answer_and_drop(request, text_response(504, "out of time"))
+            self._answer_and_remove(request, text_response(504, "out of time"))
 
-    def forget_if_over(self, request: PendingRequest) -> None:
+    def remove_if_finished(self, request: PendingRequest) -> None:
         """Forget a request that needs no answer and has no attempt in flight."""
         if request.is_closed and request.attempts_in_flight == 0:
             self.pending.pop(request.id, None)
 
-    def _answer_and_drop(self, request: PendingRequest, response: Response) -> None:
+    def _answer_and_remove(self, request: PendingRequest, response: Response) -> None:
         if not request.is_closed:
             self.answer(request, response)
             self._dispatch(ClientDisconnected(request.id))
-            self.forget_if_over(request)
+            self.remove_if_finished(request)
 
     def _close_request(self, request: PendingRequest) -> None:
         request.send_answer = None
         self.unanswered -= 1
-        if request.last_resort is not None:
-            request.last_resort.cancel()
+        if request.deadline_timer is not None:
+            request.deadline_timer.cancel()
         for attempt in request.attempts:
             if attempt is not None:
                 attempt.abandon_unless_written()
--- a/load_balancer/gateway/proxy.py
+++ b/load_balancer/gateway/reverse_proxy.py
@@ -45,23 +45,23 @@
 from load_balancer.gateway.event_log import log_event
 from load_balancer.gateway.health_checks import HealthChecker
 from load_balancer.gateway.http_message import Response, text_response
-from load_balancer.gateway.log_fields import LogFields
+from load_balancer.gateway.log_fields import LogFieldResolver
 from load_balancer.gateway.peers import PeerChannel
-from load_balancer.gateway.request_ledger import AnswerCallback, PendingRequest, RequestLedger
+from load_balancer.gateway.request_tracker import AnswerCallback, PendingRequest, RequestTracker
 from load_balancer.gateway.socket_budget import upstream_connection_limit
 from load_balancer.gateway.upstream_pool import UpstreamPool
 
 SWEEP_INTERVAL_S = 1.0
 
 
-class Proxy:
+class ReverseProxy:
     """Connects one Balancer to the network.
 
     Attributes:
         config: The configuration as last read.
         settings: The settings in force.
         balancer: Makes all decisions.
-        ledger: The pending requests.
+        request_tracker: The pending requests.
         upstream: Connections to endpoints.
         discovery: Client of service discovery.
         peers: Messages to and from other gateways.
@@ -79,7 +79,7 @@
         )
         self.upstream = UpstreamPool(
             loop,
-            limit=upstream_connection_limit(config.max_sockets),
+            max_connections=upstream_connection_limit(config.max_sockets),
             connect_timeout_us=settings.connect_timeout_us,
             idle_timeout_us=settings.idle_connection_timeout_us,
         )
@@ -87,10 +87,12 @@
             loop, config.discovery, config.names, settings.endpoints_are_pushed, self.on_watch_event
         )
         self.peers = PeerChannel(self._on_peer_message)
-        self._log_fields = LogFields(config.names, lambda: self.settings_version, self.upstream.authority)
-        self.ledger = RequestLedger(loop, self.clock, self.dispatch, self._log_fields.of_request)
+        self._log_fields = LogFieldResolver(
+            config.names, lambda: self.settings_version, self.upstream.authority
+        )
+        self.request_tracker = RequestTracker(loop, self.clock, self.dispatch, self._log_fields.for_request)
         self._attempts = AttemptSender(
-            self.ledger,
+            self.request_tracker,
             self.upstream,
             self.clock,
             self.dispatch,
@@ -152,14 +154,14 @@
         self._dispatcher.dispatch(event)
 
     def _decision_failed(self, event: Event, error: Exception) -> None:
-        fields = self._log_fields.of_subject(event, self.ledger.pending)
+        fields = self._log_fields.for_subject(event, self.request_tracker.pending)
         log_event("balancer.failed", subject=repr(event), error=error, **fields)
-        self.ledger.answer_internal_error(getattr(event, "request_id", None))
+        self.request_tracker.answer_internal_error(getattr(event, "request_id", None))
 
     def _action_failed(self, action: Action, error: Exception) -> None:
-        fields = self._log_fields.of_subject(action, self.ledger.pending)
+        fields = self._log_fields.for_subject(action, self.request_tracker.pending)
         log_event("action.failed", subject=repr(action), error=error, **fields)
-        self.ledger.answer_internal_error(getattr(action, "request_id", None))
+        self.request_tracker.answer_internal_error(getattr(action, "request_id", None))
 
     def execute(self, action: Action) -> None:
         """Execute an action."""
@@ -170,15 +172,17 @@
                 delay_us = action.due_us - self.clock.now_us()
                 self.loop.call_later(max(0, delay_us) / 1e6, self.dispatch, TimerFired(action.token))
             case Reject():
-                self.ledger.answer_by_id(action.request_id, rejection(action.retry_after_us))
+                self.request_tracker.answer_by_id(
+                    action.request_id, rejection_response(action.retry_after_us)
+                )
             case Fail():
-                self.ledger.answer_by_id(action.request_id, text_response(502, "failed"))
+                self.request_tracker.answer_by_id(action.request_id, text_response(502, "failed"))
             case Cancel():
                 self._cancel(action)
             case _:
-                self._execute_for_fleet(action)
+                self._execute_global_action(action)
 
-    def _execute_for_fleet(self, action: Action) -> None:
+    def _execute_global_action(self, action: Action) -> None:
         """Execute an action that concerns no single request."""
         match action:
             case SubscribeEndpoints():
@@ -195,22 +199,24 @@
                 log_event(action.event, **self._log_fields.resolve(action.fields))
 
     def _send(self, action: Send) -> None:
-        request = self.ledger.get(action.request_id)
+        request = self.request_tracker.get(action.request_id)
         if request is None:
-            log_event("attempt.orphaned", **self._log_fields.of_subject(action, self.ledger.pending))
+            log_event(
+                "attempt.orphaned", **self._log_fields.for_subject(action, self.request_tracker.pending)
+            )
         else:
             self._attempts.send(request, action)
 
     def _cancel(self, action: Cancel) -> None:
-        request = self.ledger.get(action.request_id)
+        request = self.request_tracker.get(action.request_id)
         attempt = request.attempts[action.attempt] if request is not None else None
         if attempt is not None:
             attempt.abandon(Outcome.CANCELLED)
 
     def _send_to_peers(self, action: SendPeerMessage) -> None:
         index = action.gateway_index
-        to = self.config.peers_all if index is None else self.config.peers[index]
-        self.peers.send(action.data, to if self.settings.may_message_peers else None)
+        receiver = self.config.peers_all if index is None else self.config.peers[index]
+        self.peers.send(action.data, receiver if self.settings.may_message_peers else None)
 
     def _log_suppressed(self) -> None:
         """Log how many lines the balancer has left out since the last time."""
@@ -226,14 +232,14 @@
         send_answer: AnswerCallback,
         has_disconnected: Callable[[], bool] = lambda: False,
     ) -> PendingRequest | None:
-        """Accept a request, or answer it at once if too many are open: see `RequestLedger.accept`."""
-        if 0 < self.settings.max_open_requests <= self.ledger.unanswered:
+        """Accept a request, or answer it at once if too many are open: see `RequestTracker.accept`."""
+        if 0 < self.settings.max_open_requests <= self.request_tracker.unanswered:
             send_answer(text_response(503, "too many requests"))
             return None
         version = self.settings_version
         names = self._log_fields.names
-        request = self.ledger.accept(client_request, version, names, send_answer, has_disconnected)
-        self.dispatch(request.arrival())
+        request = self.request_tracker.accept(client_request, version, names, send_answer, has_disconnected)
+        self.dispatch(request.arrival_event())
         return request
 
     def on_watch_event(self, event: WatchEvent) -> None:
@@ -249,7 +255,7 @@
             self.dispatch(PeerMessageReceived(self.config.peers.index(sender), data))
 
 
-def rejection(retry_after_us: int) -> Response:
+def rejection_response(retry_after_us: int) -> Response:
     """Return the answer to a request that is rejected.
 
     Args:
--- a/load_balancer/gateway/socket_state.py
+++ b/load_balancer/gateway/socket_state.py
@@ -6,7 +6,7 @@
 import select
 
 
-def has_input(transport: asyncio.Transport) -> bool:
+def has_unread_input(transport: asyncio.Transport) -> bool:
     """Return whether bytes or the other side's close wait to be read."""
     return _poll(transport, select.POLLIN)
 
--- a/load_balancer/gateway/upstream_connection.py
+++ b/load_balancer/gateway/upstream_connection.py
@@ -10,7 +10,7 @@
 from load_balancer.config.addresses import Address
 from load_balancer.errors import LoadBalancerError
 from load_balancer.gateway.http_message import BODY_LIMIT, HEAD_LIMIT, HttpResponseError, Response
-from load_balancer.gateway.socket_state import has_input
+from load_balancer.gateway.socket_state import has_unread_input
 from load_balancer.gateway.upstream_attempt import UpstreamAttempt
 
 # Bytes of all responses to one request: interim responses and the framing of chunks come on top of the body.
@@ -46,12 +46,12 @@
         self.attempt: UpstreamAttempt | None = attempt
         self.transport: asyncio.Transport | None = None
         self.idle_since = 0.0
-        self._connecting: asyncio.Task[None] | None = None
+        self._connect_task: asyncio.Task[None] | None = None
         self._response = Response()
         self._received_bytes = 0  # since the request
         self._size = 0  # of the head, then of the body
         self._chunks: list[bytes] = []
-        self._complete = False
+        self._is_complete = False
         self._keep_alive = False
         self._parser = httptools.HttpResponseParser(self)
 
@@ -60,11 +60,11 @@
         """Whether nothing has been written on it: it is idle or still coming up."""
         return self.attempt is None or self.transport is None
 
-    def is_quiet(self) -> bool:
+    def is_reusable(self) -> bool:
         """Return whether it is open and holds no unread bytes and no unread close of the endpoint."""
         if self.transport is None or self.transport.is_closing():
             return False
-        return not has_input(self.transport)
+        return not has_unread_input(self.transport)
 
     # Opening and closing
 
@@ -72,7 +72,7 @@
         self, loop: asyncio.AbstractEventLoop, attempt: UpstreamAttempt, address: Address, timeout_s: float
     ) -> None:
         """Begin to connect; the attempt is written once the connection is up."""
-        self._connecting = loop.create_task(self._connect(loop, attempt, address, timeout_s))
+        self._connect_task = loop.create_task(self._connect(loop, attempt, address, timeout_s))
 
     async def _connect(
         self, loop: asyncio.AbstractEventLoop, attempt: UpstreamAttempt, address: Address, timeout_s: float
@@ -84,14 +84,14 @@
             self.owner.discard(self)
             attempt.connection_lost()
         finally:
-            self._connecting = None
+            self._connect_task = None
 
     def abort(self) -> None:
         """Close at once; the attempt on it is not notified."""
         self.attempt = None
         self.owner.discard(self)
-        if self._connecting is not None:
-            self._connecting.cancel()
+        if self._connect_task is not None:
+            self._connect_task.cancel()
         if self.transport is not None:
             self.transport.abort()
 
@@ -154,7 +154,7 @@
         except httptools.HttpParserError:
             self.fail()
             return
-        if self._complete:
+        if self._is_complete:
             self._end_attempt(attempt)
         elif self._received_bytes > RESPONSE_LIMIT:
             self.fail()
@@ -172,7 +172,7 @@
         response.status = self._parser.get_status_code()
         response.body = b"".join(self._chunks)
         self.attempt = None
-        self._complete = False
+        self._is_complete = False
         if attempt.written and self._keep_alive:
             self.owner.release(self)
         else:
@@ -183,7 +183,7 @@
 
     def on_message_begin(self) -> None:
         """Begin a response."""
-        if self._complete:
+        if self._is_complete:
             raise HttpResponseError("a second response to one request")
         self._response = Response()
         self._chunks = []
@@ -212,5 +212,5 @@
 
         The parser knows how the message was framed only within this callback.
         """
-        self._complete = self._parser.get_status_code() >= 200  # the final response follows an interim one
+        self._is_complete = self._parser.get_status_code() >= 200  # the final response follows an interim one
         self._keep_alive = self._parser.should_keep_alive()
--- a/load_balancer/gateway/upstream_pool.py
+++ b/load_balancer/gateway/upstream_pool.py
@@ -59,13 +59,13 @@
     draining: bool = False
     idle: list[UpstreamConnection] = field(default_factory=list)
 
-    def take_idle(self) -> UpstreamConnection | None:
+    def acquire_idle(self) -> UpstreamConnection | None:
         """Take the idle connection used last of those that may be used; close those that have expired."""
         now = self.timing.now()
         for connection in reversed(self.idle[:]):
             if connection.idle_since > now - self.timing.reuse_delay_s:
                 continue
-            if connection.idle_since >= now - self.timing.idle_timeout_s and connection.is_quiet():
+            if connection.idle_since >= now - self.timing.idle_timeout_s and connection.is_reusable():
                 self.idle.remove(connection)
                 return connection
             connection.abort()
@@ -92,7 +92,7 @@
         if connection in self.idle:
             self.idle.remove(connection)
 
-    def retire(self) -> None:
+    def close_unused(self) -> None:
         """Close unused connections, as the endpoint is draining, was removed or has a new address.
 
         Attempts that wait for a connection fail now, while there is time to try another endpoint.
@@ -112,7 +112,7 @@
     """The endpoints and the connections to them.
 
     Attributes:
-        limit: How many connections may be open at once.
+        max_connections: How many connections may be open at once.
         timing: Timeouts of connections.
         endpoints: The pool of each endpoint by its id.
         connections: All that are open or coming up.
@@ -122,11 +122,11 @@
         self,
         loop: asyncio.AbstractEventLoop,
         *,
-        limit: int,
+        max_connections: int,
         connect_timeout_us: int,
         idle_timeout_us: int,
     ) -> None:
-        self.limit = limit
+        self.max_connections = max_connections
         self.timing = ConnectionTiming(loop.time)
         self.endpoints: dict[EndpointId, EndpointPool] = {}
         self.connections: set[UpstreamConnection] = set()
@@ -148,17 +148,17 @@
             endpoint = EndpointPool(address, self.timing, self.connections)
             self.endpoints[endpoint_id] = endpoint
         if endpoint.address != address:
-            endpoint.retire()
+            endpoint.close_unused()
             endpoint.address = address
         endpoint.draining = status is not EndpointStatus.READY
         if endpoint.draining:
-            endpoint.retire()
+            endpoint.close_unused()
 
     def drain_unlisted(self, listed: Iterable[EndpointId]) -> None:
         """Drain every endpoint that a complete list does not name."""
         for endpoint_id in self.endpoints.keys() - set(listed):
             self.endpoints[endpoint_id].draining = True
-            self.endpoints[endpoint_id].retire()
+            self.endpoints[endpoint_id].close_unused()
 
     def authority(self, endpoint_id: EndpointId) -> bytes:
         """Return an endpoint's address as host:port, or nothing if it is unknown."""
@@ -193,10 +193,10 @@
             attempt.connection_lost()
             return attempt
         attempt.timer = self._loop.call_later(timeout_s, attempt.abandon, Outcome.TIMEOUT)
-        connection = endpoint.take_idle()
+        connection = endpoint.acquire_idle()
         if connection is not None:
             connection.write(attempt)
-        elif len(self.connections) < self.limit or self._close_oldest_idle():
+        elif len(self.connections) < self.max_connections or self._close_oldest_idle():
             endpoint.connect(self._loop, attempt)
         else:
             attempt.connection_lost()
--- a/tests/gateway/running_gateway.py
+++ b/tests/gateway/running_gateway.py
@@ -16,7 +16,7 @@
 from load_balancer.decisions.events import Event
 from load_balancer.gateway.client_connection import ClientConnection
 from load_balancer.gateway.client_server import ClientServer
-from load_balancer.gateway.proxy import Proxy
+from load_balancer.gateway.reverse_proxy import ReverseProxy
 from tests.gateway.configurations import configuration
 from tests.gateway.http_client import HttpClient, encode_request
 from tests.gateway.stub_discovery import StubDiscovery
@@ -30,7 +30,7 @@
 class RunningGateway:
     """The gateway's parts, the stubs on both sides and the events that its balancer handled."""
 
-    proxy: Proxy
+    proxy: ReverseProxy
     client_server: ClientServer
     endpoint: StubEndpoint
     discovery: StubDiscovery
@@ -94,7 +94,7 @@
     known = {f"h{n}": endpoint.address for n in range(endpoints)}
     config = parse_config(configuration(known, discovery.address, **changed))
     loop = asyncio.get_running_loop()
-    proxy = Proxy(config, loop)
+    proxy = ReverseProxy(config, loop)
     proxy.upstream.timing.reuse_delay_s = reuse_delay_s
     client_server = ClientServer(config, proxy, loop)
     gateway = RunningGateway(proxy, client_server, endpoint, discovery)
--- a/tests/gateway/scripted_balancer.py
+++ b/tests/gateway/scripted_balancer.py
@@ -7,7 +7,7 @@
 from load_balancer.decisions.actions import Action, Cancel, Send
 from load_balancer.decisions.events import AttemptEnded, ClientDisconnected, Event, Outcome, RequestArrived
 from load_balancer.gateway.discovery_messages import endpoint_id_of
-from load_balancer.gateway.request_ledger import PendingRequest
+from load_balancer.gateway.request_tracker import PendingRequest
 from tests.gateway.running_gateway import RunningGateway
 
 
--- a/tests/gateway/test_client_connection.py
+++ b/tests/gateway/test_client_connection.py
@@ -58,7 +58,7 @@
         assert connection.current is None
         assert len(connection.waiting) <= client_connection.PIPELINE_LIMIT + 2
         assert gateway.endpoint.requests.empty()
-        assert gateway.proxy.ledger.accepted == 1
+        assert gateway.proxy.request_tracker.accepted == 1
         client.writer.transport.resume_reading()  # type: ignore[attr-defined]
         assert len((await client.read_response())[2]) == BODY_LIMIT
         for _ in range(client_connection.PIPELINE_LIMIT + 1):
--- a/tests/gateway/test_client_disconnects.py
+++ b/tests/gateway/test_client_disconnects.py
@@ -32,8 +32,8 @@
         await gateway.wait_for_event(ClientDisconnected)
         assert (await gateway.wait_for_event(AttemptEnded)).outcome is Outcome.CANCELLED
         await gateway.endpoint.closed_connections.get()
-        assert not gateway.proxy.ledger.pending
-        assert gateway.proxy.ledger.unanswered == 0
+        assert not gateway.proxy.request_tracker.pending
+        assert gateway.proxy.request_tracker.unanswered == 0
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
@@ -63,8 +63,8 @@
         assert received.headers["request-id"] == "connected"
         received.respond()
         assert (await good.read_response())[0] == 200
-        assert not gateway.proxy.ledger.pending
-        assert gateway.proxy.ledger.unanswered == 0
+        assert not gateway.proxy.request_tracker.pending
+        assert gateway.proxy.request_tracker.unanswered == 0
 
 
 @runs_in_event_loop
@@ -85,7 +85,7 @@
         assert (
             await gateway.wait_for_event(AttemptEnded, lambda e: e.request_id == "2")
         ).outcome is Outcome.CANCELLED
-        assert not gateway.proxy.ledger.pending
+        assert not gateway.proxy.request_tracker.pending
 
 
 @runs_in_event_loop
@@ -100,7 +100,7 @@
         await gateway.endpoint.closed_connections.get()
         await gateway.serve_request(await gateway.client(), encode_request(Request_Id="connected"))
         assert gateway.endpoint.requests.empty()
-        assert gateway.proxy.ledger.accepted == 2
+        assert gateway.proxy.request_tracker.accepted == 2
 
 
 def end_by(how: str, client: socket.socket) -> None:
@@ -186,15 +186,15 @@
         client.send(encode_request())
         if attempt == "further":
             await gateway.endpoint.requests.get()
-            (request,) = gateway.proxy.ledger.pending.values()
+            (request,) = gateway.proxy.request_tracker.pending.values()
             time_out(request)
         await gateway.wait_for_event(ClientDisconnected)
-        await wait_until(lambda: not gateway.proxy.ledger.pending)
+        await wait_until(lambda: not gateway.proxy.request_tracker.pending)
         monkeypatch.undo()
         client.close()
         await gateway.serve_request(await gateway.client(), encode_request(Request_Id="connected"))
         assert gateway.endpoint.requests.empty()
-        assert gateway.proxy.ledger.unanswered == 0
+        assert gateway.proxy.request_tracker.unanswered == 0
 
 
 @pytest.mark.parametrize("draining", [False, True])
@@ -214,8 +214,8 @@
             client.writer.transport.abort() if number % 2 else client.writer.close()
         await wait_until(lambda: not gateway.client_server.connections)
         free.set()
-        await wait_until(lambda: not gateway.proxy.ledger.pending)
-        assert gateway.proxy.ledger.unanswered == 0
+        await wait_until(lambda: not gateway.proxy.request_tracker.pending)
+        assert gateway.proxy.request_tracker.unanswered == 0
         assert gateway.endpoint.requests.empty()
         await gateway.serve_request(await gateway.client(), encode_request(Request_Id="connected"))
         assert gateway.endpoint.requests.empty()
--- a/tests/gateway/test_client_server.py
+++ b/tests/gateway/test_client_server.py
@@ -28,13 +28,13 @@
 @runs_in_event_loop
 async def test_connections_are_limited_and_idle_ones_make_room() -> None:
     async with running_gateway(limits={"sockets": 128}) as gateway:
-        limit = gateway.client_server.limit
+        limit = gateway.client_server.max_connections
         idle = [await gateway.client() for _ in range(limit)]
         await wait_until(lambda: len(gateway.client_server.connections) == limit)
         new = await gateway.client()
         assert (await new.request(encode_request()))[0] == 503
         for connection in gateway.client_server.connections:
-            connection.last_activity -= client_server.EVICTION_IDLE_S
+            connection.last_activity -= client_server.MIN_EVICTION_IDLE_S
         busy = await gateway.client()
         await gateway.serve_request(busy)
         ends = [asyncio.create_task(client.is_closed()) for client in idle]
@@ -57,18 +57,20 @@
 async def test_idle_clients_do_not_keep_a_new_one_from_asking_for_readiness(long_idle: bool) -> None:
     """Beyond the limit a new connection may still ask for readiness."""
     async with running_gateway(limits={"sockets": 128}) as gateway:
-        most = gateway.client_server.limit + client_server.REJECTED_CONNECTIONS
+        most = gateway.client_server.max_connections + client_server.MAX_REJECTED_CONNECTIONS
         idle = [await gateway.client() for _ in range(most)]
         await wait_until(lambda: len(gateway.client_server.connections) == most)
         for connection in gateway.client_server.connections if long_idle else ():
-            connection.last_activity -= client_server.EVICTION_IDLE_S
+            connection.last_activity -= client_server.MIN_EVICTION_IDLE_S
         for _ in range(most):
             asks = await gateway.client()
             status, _, text = await asks.request(b"GET /health/ready HTTP/1.1\r\n\r\n")
             assert (status, text) == (200, b"ready\n")
             idle.append(await gateway.client())
-            assert len(gateway.client_server.connections) <= most + client_server.CLOSING_CONNECTIONS
-        first = idle[0 if long_idle else gateway.client_server.limit]
+            assert (
+                len(gateway.client_server.connections) <= most + client_server.EVICTION_HEADROOM_CONNECTIONS
+            )
+        first = idle[0 if long_idle else gateway.client_server.max_connections]
         assert long_idle or (await first.read_response())[0] == 503
         assert await first.is_closed()
 
@@ -118,7 +120,7 @@
         (connection,) = gateway.client_server.connections
         connection.reader.began_at -= client_server.FIRST_REQUEST_TIMEOUT_S + 0.1
         peer.send(b"GET /look HTT")
-        await wait_until(lambda: connection.reader.is_mid_request)
+        await wait_until(lambda: connection.reader.has_partial_request)
         gateway.client_server.sweep()
         assert connection.reader.is_stopped
         assert (await peer.read_response())[0] == 408
@@ -191,7 +193,7 @@
     async with running_gateway() as gateway:
         client = await gateway.client()
         client.send(encode_request("buy", body=b"12", Content_Length="3"))
-        await wait_until(lambda: any(c.reader.is_mid_request for c in gateway.client_server.connections))
+        await wait_until(lambda: any(c.reader.has_partial_request for c in gateway.client_server.connections))
         gateway.client_server.draining = True
         finish = asyncio.create_task(gateway.client_server.close_connections())
         status, head, _ = await client.read_response()
--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -62,7 +62,9 @@
     line_s, call_s = 2.0, 1.0
     waits_s = retry_waits_s(2, Settings((IDEMPOTENT,), endpoints_are_pushed=False))
     assert (
-        line_s + 0.5 < discovery_call.SILENCE_TIMEOUT_S < discovery.CHANGE_DEADLINE_S - sum(waits_s) - call_s
+        line_s + 0.5
+        < discovery_call.INACTIVITY_TIMEOUT_S
+        < discovery.CHANGE_DEADLINE_S - sum(waits_s) - call_s
     )
 
 
--- a/tests/gateway/test_discovery_call.py
+++ b/tests/gateway/test_discovery_call.py
@@ -44,7 +44,7 @@
 
 
 async def test_a_silent_watch_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery_call, "SILENCE_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(discovery_call, "INACTIVITY_TIMEOUT_S", 0.05)
     async with watched() as (gateway, _):
         assert await next_list(gateway) == (ListKind.ERROR, [])
         await gateway.discovery.watches.get()
--- a/tests/gateway/test_endpoint_list_latency.py
+++ b/tests/gateway/test_endpoint_list_latency.py
@@ -12,7 +12,7 @@
 from load_balancer.gateway.discovery import CHANGE_DEADLINE_S, QUEUED_CALL_S
 from load_balancer.gateway.discovery_call import DiscoveryCall
 from load_balancer.gateway.discovery_messages import WatchEvent
-from load_balancer.gateway.proxy import Proxy
+from load_balancer.gateway.reverse_proxy import ReverseProxy
 from tests.gateway.configurations import configuration, settings
 from tests.gateway.stub_discovery import encode_chunk, endpoint_entry, watch_event
 
@@ -89,7 +89,7 @@
     try:
         changed = {**settings(), "contract": {"mustAskInUs": must_ask_us, "stopSendingWithinUs": 0}}
         raw = configuration({"h0": "127.0.0.1:9"}, "127.0.0.1:8", settings=changed, seed=seed)
-        proxy = Proxy(parse_config(raw), loop)
+        proxy = ReverseProxy(parse_config(raw), loop)
         proxy.clock.now_us = lambda: int(loop.time() * 1e6)  # type: ignore[method-assign]
 
         def pass_on(event: WatchEvent) -> None:
--- a/tests/gateway/test_graceful_shutdown.py
+++ b/tests/gateway/test_graceful_shutdown.py
@@ -28,7 +28,9 @@
         received = await gateway.endpoint.requests.get()
         idle.send(encode_request()[:20])
         await wait_until(
-            lambda: any(connection.reader.is_mid_request for connection in gateway.client_server.connections)
+            lambda: any(
+                connection.reader.has_partial_request for connection in gateway.client_server.connections
+            )
         )
         gateway.client_server.stop_listening()
         finish = asyncio.create_task(gateway.client_server.close_connections())
--- a/tests/gateway/test_reload.py
+++ b/tests/gateway/test_reload.py
@@ -257,7 +257,7 @@
         assert instance.settings_version == 61
         assert len(classes) == 2 == len(classes.by_id)
         assert balancer.demand.within_quota.keys() <= classes.by_id.keys()
-        assert not instance.gateway.proxy.ledger.pending
+        assert not instance.gateway.proxy.request_tracker.pending
         assert not balancer.lifecycle.requests
         assert classes[1].answers == 60
 
@@ -285,4 +285,4 @@
         await instance.reload(with_classes("find", tenants=[]))
         client.writer.close()
         await instance.gateway.wait_for_event(ClientDisconnected)
-        await wait_until(lambda: not instance.gateway.proxy.ledger.pending)
+        await wait_until(lambda: not instance.gateway.proxy.request_tracker.pending)
--- a/tests/gateway/test_request_ledger.py
+++ b/tests/gateway/test_request_tracker.py
@@ -6,7 +6,7 @@
 
 from load_balancer.decisions.actions import Action, Reject
 from load_balancer.decisions.events import AttemptEnded, Event, Outcome, RequestArrived
-from load_balancer.gateway.request_ledger import LAST_RESORT_DELAY_US
+from load_balancer.gateway.request_tracker import DEADLINE_TIMER_DELAY_US
 from tests.gateway.configurations import settings
 from tests.gateway.event_loop import runs_in_event_loop
 from tests.gateway.http_client import encode_request
@@ -43,7 +43,7 @@
         replace_decisions(gateway, lambda _: [])
         assert (await (await gateway.client()).request(encode_request(Request_Timeout_Ms="50")))[0] == 504
         assert "no answer at its deadline" in caplog.text
-        assert not gateway.proxy.ledger.pending
+        assert not gateway.proxy.request_tracker.pending
 
 
 @runs_in_event_loop
@@ -73,7 +73,7 @@
         gateway.proxy.balancer.handle = broken  # type: ignore[method-assign]
         assert (await client.request(encode_request()))[0] == 500
         assert "a fault" in caplog.text
-        assert not gateway.proxy.ledger.pending
+        assert not gateway.proxy.request_tracker.pending
         gateway.proxy.balancer.handle = handle  # type: ignore[method-assign]
         await gateway.serve_request(client)
 
@@ -101,14 +101,14 @@
         client = await gateway.client()
         client.send(encode_request("buy"))
         await gateway.wait_for_event(RequestArrived)
-        (request,) = gateway.proxy.ledger.pending.values()
-        gateway.proxy.ledger.answer_at_last_resort(request)
+        (request,) = gateway.proxy.request_tracker.pending.values()
+        gateway.proxy.request_tracker.answer_deadline_exceeded(request)
         assert (await client.read_response())[0] == 504
         free.set()
         assert (await gateway.wait_for_event(AttemptEnded)).finished
         await gateway.serve_request(client, encode_request(Request_Id="next"))
         assert gateway.endpoint.requests.empty()
-        assert not gateway.proxy.ledger.pending
+        assert not gateway.proxy.request_tracker.pending
 
 
 @runs_in_event_loop
@@ -118,8 +118,8 @@
         client = await gateway.client()
         client.send(encode_request("buy", Request_Timeout_Ms="300"))
         await gateway.endpoint.requests.get()
-        (request,) = gateway.proxy.ledger.pending.values()
-        while gateway.proxy.clock.now_us() < request.deadline_us + 2 * LAST_RESORT_DELAY_US:
+        (request,) = gateway.proxy.request_tracker.pending.values()
+        while gateway.proxy.clock.now_us() < request.deadline_us + 2 * DEADLINE_TIMER_DELAY_US:
             pass  # this turn of the loop lasts until both are due
         assert (await client.read_response())[0] == 502
         assert (await gateway.wait_for_event(AttemptEnded)).outcome is Outcome.TIMEOUT
--- a/tests/gateway/test_simultaneous_ends.py
+++ b/tests/gateway/test_simultaneous_ends.py
@@ -10,7 +10,7 @@
 
 from load_balancer.decisions.actions import Cancel
 from load_balancer.decisions.events import AttemptEnded, Outcome
-from load_balancer.gateway.request_ledger import PendingRequest
+from load_balancer.gateway.request_tracker import PendingRequest
 from load_balancer.gateway.upstream_connection import UpstreamConnection
 from tests.gateway.configurations import settings
 from tests.gateway.event_loop import runs_in_event_loop, wait_until
@@ -45,7 +45,7 @@
         monkeypatch.setattr(UpstreamConnection, "write", noting)
         client.send(encode_request())
         received = await gateway.endpoint.requests.get()
-        (request,) = gateway.proxy.ledger.pending.values()
+        (request,) = gateway.proxy.request_tracker.pending.values()
         (attempt,) = request.attempts
         assert attempt is not None
         if ending == "cancelled":
@@ -68,7 +68,7 @@
 
 
 def disconnect(request: PendingRequest, gateway: RunningGateway) -> None:
-    gateway.proxy.ledger.client_disconnected(request)
+    gateway.proxy.request_tracker.client_disconnected(request)
 
 
 def expire(request: PendingRequest, _it: RunningGateway) -> None:
@@ -98,7 +98,7 @@
         client = await gateway.client()
         client.send(encode_request(Request_Id="first"))
         received = await gateway.endpoint.requests.get()
-        (request,) = gateway.proxy.ledger.pending.values()
+        (request,) = gateway.proxy.request_tracker.pending.values()
         (attempt,) = request.attempts
         assert attempt is not None
         if answered != "not":
@@ -119,6 +119,6 @@
             assert (await client.read_response())[0] == 200
         await gateway.serve_request(await gateway.client(), encode_request(Request_Id="next"))
         assert gateway.endpoint.requests.empty()
-        assert not gateway.proxy.ledger.pending
-        assert gateway.proxy.ledger.unanswered == 0
+        assert not gateway.proxy.request_tracker.pending
+        assert gateway.proxy.request_tracker.unanswered == 0
         assert sum(isinstance(e, AttemptEnded) and e.request_id == "1" for e in gateway.events) <= 1
--- a/tests/gateway/test_upstream_pool.py
+++ b/tests/gateway/test_upstream_pool.py
@@ -43,7 +43,7 @@
 @runs_in_event_loop
 async def test_connections_to_endpoints_are_limited() -> None:
     async with running_gateway() as gateway:
-        gateway.proxy.upstream.limit = 3
+        gateway.proxy.upstream.max_connections = 3
         clients = [await gateway.client() for _ in range(3)]
         for client in clients:
             client.send(encode_request())
--- a/tests/lab/test_stand_ins.py
+++ b/tests/lab/test_stand_ins.py
@@ -18,7 +18,7 @@
 from load_balancer.decisions.endpoint import EndpointStatus, ListKind
 from load_balancer.decisions.events import EndpointListReceived
 from load_balancer.gateway.client_server import ClientServer
-from load_balancer.gateway.proxy import Proxy
+from load_balancer.gateway.reverse_proxy import ReverseProxy
 from tests.gateway.event_loop import run_in_event_loop
 from tests.gateway.http_client import HttpClient
 from tests.gateway.running_gateway import RunningGateway
@@ -63,7 +63,7 @@
         "settings": settings,
     }
     config = parse_config(raw)
-    proxy = Proxy(config, loop)
+    proxy = ReverseProxy(config, loop)
     it = RunningGateway(proxy, ClientServer(config, proxy, loop), StubEndpoint(), StubDiscovery())
     it.record_events()
     await proxy.start()
