--- a/tests/gateway/configurations.py
+++ b/tests/gateway/configurations.py
@@ -40,7 +40,7 @@
     }
 
 
-def configuration(endpoints: dict[str, str], discovery_address: str, **changed: Any) -> dict[str, Any]:
+def configuration(endpoints: dict[str, str], discovery_address: str, **overrides: Any) -> dict[str, Any]:
     return {
         "name": "n0",
         "listen": "127.0.0.1:0",
@@ -52,5 +52,5 @@
             "endpoints": [endpoint_entry(name, address) for name, address in endpoints.items()],
         },
         "settings": settings(),
-        **changed,
+        **overrides,
     }
--- a/tests/gateway/discovery_helpers.py
+++ b/tests/gateway/discovery_helpers.py
@@ -15,9 +15,9 @@
 
 
 @asynccontextmanager
-async def watched(**changed: Any) -> AsyncIterator[tuple[RunningGateway, asyncio.StreamWriter]]:
+async def gateway_with_watch(**overrides: Any) -> AsyncIterator[tuple[RunningGateway, asyncio.StreamWriter]]:
     """A gateway that has its cached list, and discovery's side of its first watch."""
-    async with running_gateway(**changed) as gateway:
+    async with running_gateway(**overrides) as gateway:
         await next_list(gateway)
         _, watch = await gateway.discovery.watches.get()
         yield gateway, watch
--- a/tests/gateway/event_loop.py
+++ b/tests/gateway/event_loop.py
@@ -17,12 +17,12 @@
 def run_in_event_loop(test: Coroutine[Any, Any, None]) -> None:
     """Run a test to its end; TimeoutError after TEST_TIMEOUT_S."""
 
-    async def bounded() -> None:
+    async def run_with_time_limit() -> None:
         async with asyncio.timeout(TEST_TIMEOUT_S):
             await test
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:  # the loop that the gateway runs on
-        runner.run(bounded())
+        runner.run(run_with_time_limit())
 
 
 def runs_in_event_loop(test: Callable[P, Coroutine[Any, Any, None]]) -> Callable[P, None]:
--- a/tests/gateway/http_client.py
+++ b/tests/gateway/http_client.py
@@ -12,7 +12,7 @@
     request_class: str = "look", method: str = "", body: bytes = b"", **headers: str | None
 ) -> bytes:
     """A request of the class; a header of None is left out."""
-    lines: dict[str, str | None] = {
+    header_values: dict[str, str | None] = {
         "Host": "service.internal",
         "Request-Id": "0123abcd",
         "Request-Class": request_class,
@@ -20,8 +20,8 @@
         "Content-Length": str(len(body)) if body else None,
         "Idempotency-Key": "77" if request_class == "pay" else None,
     }
-    lines |= {name.replace("_", "-"): value for name, value in headers.items()}
-    head = "".join(f"{name}: {value}\r\n" for name, value in lines.items() if value is not None)
+    header_values |= {name.replace("_", "-"): value for name, value in headers.items()}
+    head = "".join(f"{name}: {value}\r\n" for name, value in header_values.items() if value is not None)
     method = method or ("GET" if request_class == "look" else "POST")
     return f"{method} /{request_class}?user=00ff HTTP/1.1\r\n{head}\r\n".encode() + body
 
@@ -37,8 +37,8 @@
         self.writer.write(data)
 
     async def read_response(self) -> tuple[int, Headers, bytes]:
-        first, head, body = await read_message(self.reader)
-        return int(first.split()[1]), head, body
+        status_line, headers, body = await read_message(self.reader)
+        return int(status_line.split()[1]), headers, body
 
     async def request(self, data: bytes) -> tuple[int, Headers, bytes]:
         self.send(data)
--- a/tests/gateway/process_helpers.py
+++ b/tests/gateway/process_helpers.py
@@ -49,7 +49,7 @@
     return HttpClient(*await asyncio.open_connection("127.0.0.1", port))
 
 
-async def expect_last_answer(client: HttpClient, status: int = 200) -> None:
+async def expect_final_answer(client: HttpClient, status: int = 200) -> None:
     """The answer says that the connection closes, and it does."""
     actual, head, _ = await client.read_response()
     assert actual == status
--- a/tests/gateway/reload_helpers.py
+++ b/tests/gateway/reload_helpers.py
@@ -24,7 +24,7 @@
 TENANTS = [{"name": "acme"}, {"name": "umbrella"}]
 
 
-FIRST = {**settings(maxAttempts=1), "tenants": TENANTS}
+INITIAL_SETTINGS = {**settings(maxAttempts=1), "tenants": TENANTS}
 
 
 @dataclass
@@ -34,19 +34,23 @@
     gateway: RunningGateway
     reloader: ConfigReloader
     path: Path
-    raw: dict[str, Any]
-
-    def write(self, settings: object = None, **changed: Any) -> None:
-        raw = {**self.raw, **({"settings": settings} if settings is not None else {}), **changed}
-        new = self.path.with_suffix(".new")
-        new.write_text(json.dumps(raw))
-        new.replace(self.path)
+    raw_config: dict[str, Any]
+
+    def write(self, settings: object = None, **overrides: Any) -> None:
+        document = {
+            **self.raw_config,
+            **({"settings": settings} if settings is not None else {}),
+            **overrides,
+        }
+        new_path = self.path.with_suffix(".new")
+        new_path.write_text(json.dumps(document))
+        new_path.replace(self.path)
 
     async def finish_reading(self) -> None:
         await wait_until(lambda: not self.reloader.is_reading)
 
-    async def reload(self, settings: object = None, **changed: Any) -> None:
-        self.write(settings, **changed)
+    async def reload(self, settings: object = None, **overrides: Any) -> None:
+        self.write(settings, **overrides)
         self.reloader.request_reload()
         await self.finish_reading()
 
@@ -56,45 +60,51 @@
 
 
 @asynccontextmanager
-async def reloadable(tmp_path: Path) -> AsyncIterator[ReloadableGateway]:
+async def reloadable_gateway(tmp_path: Path) -> AsyncIterator[ReloadableGateway]:
     """A gateway whose configuration stands in a file."""
-    async with running_gateway(endpoints=2, settings=FIRST) as it:
-        raw = configuration({"h0": it.endpoint.address}, it.discovery.address, settings=FIRST)
+    async with running_gateway(endpoint_count=2, settings=INITIAL_SETTINGS) as gateway:
+        raw_config = configuration(
+            {"h0": gateway.endpoint.address}, gateway.discovery.address, settings=INITIAL_SETTINGS
+        )
         path = tmp_path / "config.json"
-        path.write_text(json.dumps(raw))
+        path.write_text(json.dumps(raw_config))
         environ: Mapping[str, str] = {"ROUTER_CONFIG": str(path)}
         loaded = configs.load_config(environ)
         loaded.cached_endpoint_list.clear()
-        reloader = ConfigReloader(loaded, it.proxy, it.client_server, environ)
+        reloader = ConfigReloader(loaded, gateway.proxy, gateway.client_server, environ)
         try:
-            yield ReloadableGateway(it, reloader, path, raw)
+            yield ReloadableGateway(gateway, reloader, path, raw_config)
         finally:
             reloader.close()
 
 
-def logged(caplog: pytest.LogCaptureFixture) -> list[dict[str, Any]]:
+def logged_config_events(caplog: pytest.LogCaptureFixture) -> list[dict[str, Any]]:
     events: list[Any] = [record.msg for record in caplog.records if isinstance(record.msg, dict)]
     return [event for event in events if event["event"].startswith("config.")]
 
 
-def with_classes(*classes: str, **changed: Any) -> dict[str, Any]:
+def settings_with_classes(*names: str, **overrides: Any) -> dict[str, Any]:
     """Settings with classes of those names, idempotent ones but for `buy`."""
-    lanes = [request_class_settings(name, "single_shot" if name == "buy" else "free") for name in classes]
-    return {**FIRST, "lanes": lanes, **changed}
+    class_settings = [
+        request_class_settings(name, "single_shot" if name == "buy" else "free") for name in names
+    ]
+    return {**INITIAL_SETTINGS, "lanes": class_settings, **overrides}
 
 
-def hold_reading(monkeypatch: pytest.MonkeyPatch) -> tuple[list[Config | None], asyncio.Event]:
+def pause_config_reads(monkeypatch: pytest.MonkeyPatch) -> tuple[list[Config | None], asyncio.Event]:
     """Readings go on only once the event is set; returns what each began with."""
-    began: list[Config | None] = []
-    free = asyncio.Event()
-
-    def held(environ: Mapping[str, str], before: Config | None = None) -> Generator[None, None, Config]:
-        began.append(before)
-        steps = read_steps(environ, before)
+    previous_configs: list[Config | None] = []
+    resume = asyncio.Event()
+
+    def paused_read_steps(
+        environ: Mapping[str, str], previous: Config | None = None
+    ) -> Generator[None, None, Config]:
+        previous_configs.append(previous)
+        steps = read_steps(environ, previous)
         next(steps)  # the file is open, and as it was
-        while not free.is_set():
+        while not resume.is_set():
             yield
         return (yield from steps)
 
-    monkeypatch.setattr(reload, "read_steps", held)
-    return began, free
+    monkeypatch.setattr(reload, "read_steps", paused_read_steps)
+    return previous_configs, resume
--- a/tests/gateway/running_gateway.py
+++ b/tests/gateway/running_gateway.py
@@ -23,7 +23,7 @@
 from tests.gateway.stub_endpoint import StubEndpoint
 from tests.gateway.stub_server import socket_with_small_buffer
 
-E = TypeVar("E")
+EventT = TypeVar("EventT")
 
 
 @dataclass
@@ -35,28 +35,30 @@
     endpoint: StubEndpoint
     discovery: StubDiscovery
     events: list[Event] = field(default_factory=list)
-    changed: asyncio.Event = field(default_factory=asyncio.Event)
+    event_recorded: asyncio.Event = field(default_factory=asyncio.Event)
 
     def record_events(self) -> None:
         """Record the events that the balancer handles, in order."""
         handle = self.proxy.balancer.handle
 
-        def noting(now_us: int, event: Event) -> list[Action]:
+        def record_and_handle(now_us: int, event: Event) -> list[Action]:
             self.events.append(event)
-            self.changed.set()
+            self.event_recorded.set()
             return handle(now_us, event)
 
-        self.proxy.balancer.handle = noting  # type: ignore[method-assign]
+        self.proxy.balancer.handle = record_and_handle  # type: ignore[method-assign]
 
-    async def wait_for_event(self, kind: type[E], where: Callable[[E], bool] = lambda _: True) -> E:
+    async def wait_for_event(
+        self, event_type: type[EventT], matches: Callable[[EventT], bool] = lambda _: True
+    ) -> EventT:
         """Wait for the first matching event; it and those before it are removed from `events`."""
         while True:
             while self.events:
                 event = self.events.pop(0)
-                if isinstance(event, kind) and where(event):
+                if isinstance(event, event_type) and matches(event):
                     return event
-            self.changed.clear()
-            await self.changed.wait()
+            self.event_recorded.clear()
+            await self.event_recorded.wait()
 
     async def serve_request(self, client: HttpClient, data: bytes = b"") -> None:
         """Send a request, respond with 200 at the endpoint and expect 200 at the client."""
@@ -68,8 +70,8 @@
         """Stop reading at the client; returns its connection at the gateway, with a small send buffer."""
         (connection,) = self.client_server.connections
         assert connection.transport is not None
-        ours = connection.transport.get_extra_info("socket")
-        ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        gateway_socket = connection.transport.get_extra_info("socket")
+        gateway_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
         return connection
 
@@ -77,22 +79,22 @@
         """Connect a client with a small receive buffer."""
         assert self.client_server.listener is not None
         host, port = self.client_server.listener.sockets[0].getsockname()
-        sock = socket_with_small_buffer()
-        sock.setblocking(False)
-        await asyncio.get_running_loop().sock_connect(sock, (host, port))
-        return HttpClient(*await asyncio.open_connection(sock=sock))
+        client_socket = socket_with_small_buffer()
+        client_socket.setblocking(False)
+        await asyncio.get_running_loop().sock_connect(client_socket, (host, port))
+        return HttpClient(*await asyncio.open_connection(sock=client_socket))
 
 
 @asynccontextmanager
 async def running_gateway(
-    endpoints: int = 1, reuse_delay_s: float = 0.0, **changed: Any
+    endpoint_count: int = 1, reuse_delay_s: float = 0.0, **overrides: Any
 ) -> AsyncIterator[RunningGateway]:
     """Run a gateway whose list has that many endpoints `h0`, `h1`, ..., all at the address of one stub."""
     endpoint, discovery = StubEndpoint(), StubDiscovery()
     await endpoint.start()
     await discovery.start()
-    known = {f"h{n}": endpoint.address for n in range(endpoints)}
-    config = parse_config(configuration(known, discovery.address, **changed))
+    endpoint_addresses = {f"h{n}": endpoint.address for n in range(endpoint_count)}
+    config = parse_config(configuration(endpoint_addresses, discovery.address, **overrides))
     loop = asyncio.get_running_loop()
     proxy = Proxy(config, loop)
     proxy.upstream.timing.reuse_delay_s = reuse_delay_s
@@ -113,15 +115,15 @@
         discovery.stop()
 
 
-def hold_connects(gateway: RunningGateway, monkeypatch: pytest.MonkeyPatch) -> asyncio.Event:
+def pause_endpoint_connects(gateway: RunningGateway, monkeypatch: pytest.MonkeyPatch) -> asyncio.Event:
     """Delay connections to the endpoint until the returned event is set."""
-    loop, free = gateway.proxy.loop, asyncio.Event()
+    loop, resume = gateway.proxy.loop, asyncio.Event()
     connect = loop.create_connection
 
-    async def held(protocol: Any, host: str, port: int, **kwargs: Any) -> Any:
+    async def connect_when_resumed(protocol: Any, host: str, port: int, **kwargs: Any) -> Any:
         if f"{host}:{port}" == gateway.endpoint.address:
-            await free.wait()
+            await resume.wait()
         return await connect(protocol, host, port, **kwargs)
 
-    monkeypatch.setattr(loop, "create_connection", held)
-    return free
+    monkeypatch.setattr(loop, "create_connection", connect_when_resumed)
+    return resume
--- a/tests/gateway/scripted_balancer.py
+++ b/tests/gateway/scripted_balancer.py
@@ -17,22 +17,22 @@
     def handle(now_us: int, event: Event) -> list[Action]:
         del now_us
         gateway.events.append(event)
-        gateway.changed.set()
+        gateway.event_recorded.set()
         return decide(event)
 
     gateway.proxy.balancer.handle = handle  # type: ignore[method-assign]
 
 
-def script_decisions(gateway: RunningGateway, first: list[str], then: str) -> None:
+def script_decisions(gateway: RunningGateway, first_endpoints: list[str], later_endpoint: str) -> None:
     """Send a request to the first endpoints, and to another after each outcome but a good one."""
-    endpoints = iter(first)
+    remaining_endpoints = iter(first_endpoints)
 
     def decide(event: Event) -> list[Action]:
         request_id = getattr(event, "request_id", "")
         if isinstance(event, RequestArrived):
-            return [Send(request_id, endpoint_id_of(next(endpoints)), 20_000_000)]
+            return [Send(request_id, endpoint_id_of(next(remaining_endpoints)), 20_000_000)]
         if isinstance(event, AttemptEnded) and not event.finished and event.outcome is not Outcome.OK:
-            return [Send(request_id, endpoint_id_of(then), 20_000_000)]
+            return [Send(request_id, endpoint_id_of(later_endpoint), 20_000_000)]
         if isinstance(event, ClientDisconnected):
             return [Cancel(request_id, 0)]
         return []
--- a/tests/gateway/stub_discovery.py
+++ b/tests/gateway/stub_discovery.py
@@ -17,15 +17,15 @@
         self.complete_list = b"{}"
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        first, _ = await read_head(reader)
-        if "stream=1" not in first:
+        request_line, _ = await read_head(reader)
+        if "stream=1" not in request_line:
             writer.write(
                 b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b"
                 % (len(self.complete_list), self.complete_list)
             )
             return
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        self.watches.put_nowait((first, writer))
+        self.watches.put_nowait((request_line, writer))
         await reader.read()
 
 
--- a/tests/gateway/stub_endpoint.py
+++ b/tests/gateway/stub_endpoint.py
@@ -43,6 +43,6 @@
         while True:
             self.requests.put_nowait(ReceivedRequest(*await read_message(reader), writer))
 
-    async def ended(self, writer: asyncio.StreamWriter) -> None:
+    async def connection_lost(self, writer: asyncio.StreamWriter) -> None:
         self.closed_connections.put_nowait(None)
         writer.close()
--- a/tests/gateway/stub_server.py
+++ b/tests/gateway/stub_server.py
@@ -11,8 +11,8 @@
 
 def send_now(writer: asyncio.StreamWriter, data: bytes) -> None:
     """Send in this iteration of the event loop, before any side reads again."""
-    with socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno())) as raw:
-        raw.send(data)
+    with socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno())) as duplicate:
+        duplicate.send(data)
 
 
 def socket_with_small_buffer() -> socket.socket:
@@ -24,14 +24,16 @@
 
 async def read_head(reader: asyncio.StreamReader) -> tuple[str, Headers]:
     """The first line and the headers, their names in lower case."""
-    first, *lines = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").rstrip().split("\r\n")
-    return first, {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
+    start_line, *header_lines = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").rstrip().split("\r\n")
+    return start_line, {
+        name.lower(): value.strip() for name, _, value in (line.partition(":") for line in header_lines)
+    }
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[str, Headers, bytes]:
     """The first line, the headers and the body by Content-Length."""
-    first, head = await read_head(reader)
-    return first, head, await reader.readexactly(int(head.get("content-length", "0")))
+    start_line, headers = await read_head(reader)
+    return start_line, headers, await reader.readexactly(int(headers.get("content-length", "0")))
 
 
 class StubServer:
@@ -63,12 +65,12 @@
         try:
             await self.serve(reader, writer)
         except (asyncio.IncompleteReadError, ConnectionError):
-            await self.ended(writer)
+            await self.connection_lost(writer)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         raise NotImplementedError
 
-    async def ended(self, writer: asyncio.StreamWriter) -> None:
+    async def connection_lost(self, writer: asyncio.StreamWriter) -> None:
         writer.close()
 
     def stop(self) -> None:
--- a/tests/gateway/test_attempts.py
+++ b/tests/gateway/test_attempts.py
@@ -14,7 +14,7 @@
 from tests.gateway.configurations import settings
 from tests.gateway.event_loop import runs_in_event_loop
 from tests.gateway.http_client import encode_request
-from tests.gateway.running_gateway import hold_connects, running_gateway
+from tests.gateway.running_gateway import pause_endpoint_connects, running_gateway
 from tests.gateway.scripted_balancer import replace_decisions
 
 RESPONSES = [
@@ -37,20 +37,20 @@
 ]
 
 
-@pytest.mark.parametrize(("answer", "outcome"), RESPONSES)
+@pytest.mark.parametrize(("response", "outcome"), RESPONSES)
 @runs_in_event_loop
-async def test_each_response_has_its_outcome(answer: bytes, outcome: Outcome) -> None:
+async def test_each_response_has_its_outcome(response: bytes, outcome: Outcome) -> None:
     async with running_gateway() as gateway:
         client = await gateway.client()
         client.send(encode_request("buy"))
-        (await gateway.endpoint.requests.get()).respond_raw(answer, close=True)
+        (await gateway.endpoint.requests.get()).respond_raw(response, close=True)
         assert (await gateway.wait_for_event(AttemptEnded)).outcome is outcome
         # A request that must not run twice is rejected only where it is sure not to have run.
         assert (await client.read_response())[0] == (503 if outcome is Outcome.REJECTED else 502)
 
 
 @runs_in_event_loop
-async def test_an_interim_response_is_not_the_final_one() -> None:
+async def test_an_interim_response_does_not_end_the_attempt() -> None:
     async with running_gateway() as gateway:
         client = await gateway.client()
         client.send(encode_request())
@@ -81,7 +81,7 @@
 @runs_in_event_loop
 async def test_a_connect_timeout_is_reported_as_connect_failed(monkeypatch: pytest.MonkeyPatch) -> None:
     async with running_gateway(settings=settings(connectTimeoutUs=1_000)) as gateway:
-        hold_connects(gateway, monkeypatch)
+        pause_endpoint_connects(gateway, monkeypatch)
         assert (await (await gateway.client()).request(encode_request("buy")))[0] == 503
         assert (await gateway.wait_for_event(AttemptEnded)).outcome is Outcome.CONNECT_FAILED
 
@@ -126,41 +126,41 @@
 ]
 
 
-@pytest.mark.parametrize("begin", ENDLESS_RESPONSES, ids=["head", "chunk extension", "interim answers"])
+@pytest.mark.parametrize("prefix", ENDLESS_RESPONSES, ids=["head", "chunk extension", "interim answers"])
 @runs_in_event_loop
-async def test_an_endless_response_is_cut_off(begin: bytes) -> None:
+async def test_an_endless_response_ends_its_attempt(prefix: bytes) -> None:
     """Bytes are counted that are no whole header and no body."""
     async with running_gateway() as gateway:
         client = await gateway.client()
         client.send(encode_request("buy"))
         received = await gateway.endpoint.requests.get()
-        received.respond_raw(begin)
-        more = begin if begin.endswith(b"\r\n\r\n") else b"x" * 1000
-        ended = asyncio.create_task(gateway.wait_for_event(AttemptEnded))
-        while not ended.done() and not received.writer.is_closing():
-            received.respond_raw(more)
+        received.respond_raw(prefix)
+        continuation = prefix if prefix.endswith(b"\r\n\r\n") else b"x" * 1000
+        outcome_task = asyncio.create_task(gateway.wait_for_event(AttemptEnded))
+        while not outcome_task.done() and not received.writer.is_closing():
+            received.respond_raw(continuation)
             await received.writer.drain()
             await asyncio.sleep(0)
-        assert (await ended).outcome is Outcome.RESET
+        assert (await outcome_task).outcome is Outcome.RESET
         assert (await client.read_response())[0] == 502
         assert not gateway.proxy.upstream.connections
 
 
-@pytest.mark.parametrize("attempts", [2, 1])
+@pytest.mark.parametrize("max_attempts", [2, 1])
 @runs_in_event_loop
-async def test_an_attempt_beyond_the_limit_is_never_sent(attempts: int) -> None:
-    async with running_gateway(settings=settings(maxAttempts=attempts)) as gateway:
+async def test_an_attempt_beyond_the_limit_is_never_sent(max_attempts: int) -> None:
+    async with running_gateway(settings=settings(maxAttempts=max_attempts)) as gateway:
 
-        def twice(event: Event) -> list[Action]:
+        def send_twice(event: Event) -> list[Action]:
             send = Send(getattr(event, "request_id", ""), endpoint_id_of("h0"), 20_000_000)
             return [send, send] if isinstance(event, RequestArrived) else []
 
-        replace_decisions(gateway, twice)
+        replace_decisions(gateway, send_twice)
         client = await gateway.client()
         client.send(encode_request())
-        for _ in range(attempts):
+        for _ in range(max_attempts):
             received = await gateway.endpoint.requests.get()
-        if attempts == 1:
+        if max_attempts == 1:
             assert (await gateway.wait_for_event(AttemptEnded)).outcome is Outcome.NOT_SENT
         received.respond()
         assert (await client.read_response())[0] == 200
--- a/tests/gateway/test_client_connection.py
+++ b/tests/gateway/test_client_connection.py
@@ -17,11 +17,11 @@
     async with running_gateway() as gateway:
         client = await gateway.client()
         client.send(encode_request(Request_Id="first") + encode_request(Request_Id="second"))
-        for name in ("first", "second"):
+        for request_id in ("first", "second"):
             received = await gateway.endpoint.requests.get()
-            assert received.headers["request-id"] == name
-            received.respond(body=name.encode())
-            assert (await client.read_response())[2] == name.encode()
+            assert received.headers["request-id"] == request_id
+            received.respond(body=request_id.encode())
+            assert (await client.read_response())[2] == request_id.encode()
 
 
 @runs_in_event_loop
@@ -33,10 +33,10 @@
         await gateway.endpoint.requests.get()
         (connection,) = gateway.client_server.connections
         await wait_until(lambda: connection.reader.is_stopped)
-        *ahead, last = connection.waiting
-        assert len(ahead) == 3
-        assert last.rejection is not None
-        assert last.rejection.response.status == 503
+        *queued, rejected = connection.waiting
+        assert len(queued) == 3
+        assert rejected.rejection is not None
+        assert rejected.rejection.response.status == 503
 
 
 @runs_in_event_loop
@@ -100,10 +100,10 @@
         await wait_until(lambda: not gateway.client_server.connections)
 
 
-@pytest.mark.parametrize("reads", [True, False])
+@pytest.mark.parametrize("client_reads", [True, False])
 @runs_in_event_loop
-async def test_a_lingering_close_ends_once_the_answer_is_read(
-    reads: bool, monkeypatch: pytest.MonkeyPatch
+async def test_a_lingering_close_waits_until_the_answer_is_read(
+    client_reads: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(lingering_close, "LINGER_S", 0.01)
     async with running_gateway() as gateway:
@@ -120,7 +120,7 @@
         for _ in range(5):
             lingering.close_if_sent()
         assert not connection.transport.is_closing()
-        if reads:
+        if client_reads:
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
             assert len((await client.read_response())[2]) == BODY_LIMIT
         else:
--- a/tests/gateway/test_client_disconnects.py
+++ b/tests/gateway/test_client_disconnects.py
@@ -18,7 +18,7 @@
 from tests.gateway.configurations import settings
 from tests.gateway.event_loop import runs_in_event_loop, wait_until
 from tests.gateway.http_client import encode_request
-from tests.gateway.running_gateway import RunningGateway, hold_connects, running_gateway
+from tests.gateway.running_gateway import RunningGateway, pause_endpoint_connects, running_gateway
 from tests.gateway.scripted_balancer import script_decisions, time_out
 
 
@@ -44,7 +44,7 @@
 ) -> None:
     """Also where attempts may not be cancelled."""
     async with running_gateway(settings=settings(mayCancel=may_cancel)) as gateway:
-        free = hold_connects(gateway, monkeypatch)
+        resume_connects = pause_endpoint_connects(gateway, monkeypatch)
         client = await gateway.client()
         client.send(encode_request(Request_Id="disconnected") + (b"more" if "unread" in ending else b""))
         await gateway.wait_for_event(RequestArrived)
@@ -53,16 +53,16 @@
         else:
             client.writer.transport.abort()
         await gateway.wait_for_event(ClientDisconnected)
-        free.set()
+        resume_connects.set()
         ended = await gateway.wait_for_event(AttemptEnded)
         assert ended.outcome in (Outcome.CANCELLED, Outcome.NOT_SENT)
         assert ended.finished
-        good = await gateway.client()
-        good.send(encode_request(Request_Id="connected"))
+        connected_client = await gateway.client()
+        connected_client.send(encode_request(Request_Id="connected"))
         received = await gateway.endpoint.requests.get()
         assert received.headers["request-id"] == "connected"
         received.respond()
-        assert (await good.read_response())[0] == 200
+        assert (await connected_client.read_response())[0] == 200
         assert not gateway.proxy.ledger.pending
         assert gateway.proxy.ledger.unanswered == 0
 
@@ -103,7 +103,7 @@
         assert gateway.proxy.ledger.accepted == 2
 
 
-def end_by(how: str, client: socket.socket) -> None:
+def disconnect_by(how: str, client: socket.socket) -> None:
     """The client's end, in its socket at once."""
     if how == "half":
         client.shutdown(socket.SHUT_WR)
@@ -124,53 +124,53 @@
         assert (await client.read_response())[0] == 200
 
 
-def end_as_request_is_accepted(
-    gateway: RunningGateway, monkeypatch: pytest.MonkeyPatch, end: Callable[[], None]
+def disconnect_on_accept(
+    gateway: RunningGateway, monkeypatch: pytest.MonkeyPatch, disconnect: Callable[[], None]
 ) -> None:
     accept = gateway.proxy.accept
 
-    def end_then_accept(*args: Any, **kwargs: Any) -> Any:
-        end()
+    def disconnect_then_accept(*args: Any, **kwargs: Any) -> Any:
+        disconnect()
         return accept(*args, **kwargs)
 
-    monkeypatch.setattr(gateway.proxy, "accept", end_then_accept)
+    monkeypatch.setattr(gateway.proxy, "accept", disconnect_then_accept)
 
 
-def end_as_connection_comes_up(
-    _it: RunningGateway, monkeypatch: pytest.MonkeyPatch, end: Callable[[], None]
+def disconnect_on_upstream_connect(
+    _gateway: RunningGateway, monkeypatch: pytest.MonkeyPatch, disconnect: Callable[[], None]
 ) -> None:
     connection_made = UpstreamConnection.connection_made
 
-    def end_then_connect(connection: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
-        end()
+    def disconnect_then_connect(connection: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
+        disconnect()
         connection_made(connection, transport)
 
-    monkeypatch.setattr(UpstreamConnection, "connection_made", end_then_connect)
+    monkeypatch.setattr(UpstreamConnection, "connection_made", disconnect_then_connect)
 
 
-def end_as_attempt_times_out(
-    gateway: RunningGateway, monkeypatch: pytest.MonkeyPatch, end: Callable[[], None]
+def disconnect_on_time_out(
+    gateway: RunningGateway, monkeypatch: pytest.MonkeyPatch, disconnect: Callable[[], None]
 ) -> None:
     handle = gateway.proxy.balancer.handle
 
-    def end_then_decide(now_us: int, event: Event) -> list[Action]:
+    def disconnect_then_handle(now_us: int, event: Event) -> list[Action]:
         if isinstance(event, AttemptEnded) and event.outcome is Outcome.TIMEOUT:
-            end()
+            disconnect()
         return handle(now_us, event)
 
-    monkeypatch.setattr(gateway.proxy.balancer, "handle", end_then_decide)
+    monkeypatch.setattr(gateway.proxy.balancer, "handle", disconnect_then_handle)
 
 
-EndingInTime = Callable[[RunningGateway, pytest.MonkeyPatch, Callable[[], None]], None]
-ATTEMPTS: dict[str, EndingInTime] = {
-    "first": end_as_request_is_accepted,
-    "on a new connection": end_as_connection_comes_up,
-    "further": end_as_attempt_times_out,
+DisconnectScheduler = Callable[[RunningGateway, pytest.MonkeyPatch, Callable[[], None]], None]
+DISCONNECT_SCHEDULERS: dict[str, DisconnectScheduler] = {
+    "first": disconnect_on_accept,
+    "on a new connection": disconnect_on_upstream_connect,
+    "further": disconnect_on_time_out,
 }
 
 
 @pytest.mark.parametrize("how", ["closed", "half", "reset"])
-@pytest.mark.parametrize("attempt", ATTEMPTS)
+@pytest.mark.parametrize("attempt", DISCONNECT_SCHEDULERS)
 @runs_in_event_loop
 async def test_no_attempt_starts_after_a_disconnect_that_the_loop_has_not_read(
     attempt: str, how: str, monkeypatch: pytest.MonkeyPatch
@@ -182,7 +182,7 @@
         client = socket.create_connection(gateway.client_server.listener.sockets[0].getsockname())
         await open_idle_connections(gateway, 0 if attempt == "on a new connection" else 2)
         gateway.events.clear()
-        ATTEMPTS[attempt](gateway, monkeypatch, partial(end_by, how, client))
+        DISCONNECT_SCHEDULERS[attempt](gateway, monkeypatch, partial(disconnect_by, how, client))
         client.send(encode_request())
         if attempt == "further":
             await gateway.endpoint.requests.get()
@@ -199,21 +199,21 @@
 
 @pytest.mark.parametrize("draining", [False, True])
 @runs_in_event_loop
-async def test_requests_of_many_clients_that_disconnect_at_once_are_not_forwarded(
+async def test_requests_of_clients_that_disconnect_together_are_not_forwarded(
     draining: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with running_gateway(settings=settings(mayCancel=False)) as gateway:
         gateway.proxy.balancer.concurrency_limit.limit = 100.0  # nothing is shed for what is in flight
-        free = hold_connects(gateway, monkeypatch)
+        resume_connects = pause_endpoint_connects(gateway, monkeypatch)
         clients = [await gateway.client() for _ in range(20)]
         for client in clients:
             client.send(encode_request())
             await gateway.wait_for_event(RequestArrived)
         gateway.client_server.draining = draining
-        for number, client in enumerate(clients):
-            client.writer.transport.abort() if number % 2 else client.writer.close()
+        for index, client in enumerate(clients):
+            client.writer.transport.abort() if index % 2 else client.writer.close()
         await wait_until(lambda: not gateway.client_server.connections)
-        free.set()
+        resume_connects.set()
         await wait_until(lambda: not gateway.proxy.ledger.pending)
         assert gateway.proxy.ledger.unanswered == 0
         assert gateway.endpoint.requests.empty()
--- a/tests/gateway/test_client_server.py
+++ b/tests/gateway/test_client_server.py
@@ -17,7 +17,7 @@
 @pytest.mark.parametrize(("endpoints", "status"), [(1, 200), (0, 503)])
 @runs_in_event_loop
 async def test_ready_once_endpoints_are_known(endpoints: int, status: int) -> None:
-    async with running_gateway(endpoints=endpoints) as gateway:
+    async with running_gateway(endpoint_count=endpoints) as gateway:
         assert (
             not gateway.proxy.config.cached_endpoint_list
         )  # it stayed for good, beside the list as it was read
@@ -26,67 +26,67 @@
 
 
 @runs_in_event_loop
-async def test_connections_are_limited_and_idle_ones_make_room() -> None:
+async def test_connections_are_limited_and_idle_ones_are_closed_for_new_ones() -> None:
     async with running_gateway(limits={"sockets": 128}) as gateway:
         limit = gateway.client_server.limit
-        idle = [await gateway.client() for _ in range(limit)]
+        idle_clients = [await gateway.client() for _ in range(limit)]
         await wait_until(lambda: len(gateway.client_server.connections) == limit)
-        new = await gateway.client()
-        assert (await new.request(encode_request()))[0] == 503
+        excess_client = await gateway.client()
+        assert (await excess_client.request(encode_request()))[0] == 503
         for connection in gateway.client_server.connections:
             connection.last_activity -= client_server.EVICTION_IDLE_S
-        busy = await gateway.client()
-        await gateway.serve_request(busy)
-        ends = [asyncio.create_task(client.is_closed()) for client in idle]
-        await asyncio.wait(ends, return_when=asyncio.FIRST_COMPLETED)
-        assert any(end.done() and end.result() for end in ends)
-        held = []
+        accepted_client = await gateway.client()
+        await gateway.serve_request(accepted_client)
+        close_checks = [asyncio.create_task(client.is_closed()) for client in idle_clients]
+        await asyncio.wait(close_checks, return_when=asyncio.FIRST_COMPLETED)
+        assert any(close_check.done() and close_check.result() for close_check in close_checks)
+        busy_clients = []
         gateway.proxy.balancer.concurrency_limit.limit = 2.0 * limit  # nothing is shed for what is in flight
         for _ in range(limit):
-            held.append(await gateway.client())
-            held[-1].send(encode_request())
+            busy_clients.append(await gateway.client())
+            busy_clients[-1].send(encode_request())
             await gateway.wait_for_event(RequestArrived)
-        rejected = await gateway.client()
-        status, head, _ = await rejected.request(encode_request())
+        rejected_client = await gateway.client()
+        status, headers, _ = await rejected_client.request(encode_request())
         assert status == 503
-        assert head["connection"] == "close"
+        assert headers["connection"] == "close"
 
 
 @pytest.mark.parametrize("long_idle", [False, True])
 @runs_in_event_loop
-async def test_idle_clients_do_not_keep_a_new_one_from_asking_for_readiness(long_idle: bool) -> None:
+async def test_idle_clients_do_not_block_a_readiness_check(long_idle: bool) -> None:
     """Beyond the limit a new connection may still ask for readiness."""
     async with running_gateway(limits={"sockets": 128}) as gateway:
-        most = gateway.client_server.limit + client_server.REJECTED_CONNECTIONS
-        idle = [await gateway.client() for _ in range(most)]
-        await wait_until(lambda: len(gateway.client_server.connections) == most)
+        open_limit = gateway.client_server.limit + client_server.REJECTED_CONNECTIONS
+        idle_clients = [await gateway.client() for _ in range(open_limit)]
+        await wait_until(lambda: len(gateway.client_server.connections) == open_limit)
         for connection in gateway.client_server.connections if long_idle else ():
             connection.last_activity -= client_server.EVICTION_IDLE_S
-        for _ in range(most):
-            asks = await gateway.client()
-            status, _, text = await asks.request(b"GET /health/ready HTTP/1.1\r\n\r\n")
-            assert (status, text) == (200, b"ready\n")
-            idle.append(await gateway.client())
-            assert len(gateway.client_server.connections) <= most + client_server.CLOSING_CONNECTIONS
-        first = idle[0 if long_idle else gateway.client_server.limit]
-        assert long_idle or (await first.read_response())[0] == 503
-        assert await first.is_closed()
+        for _ in range(open_limit):
+            readiness_client = await gateway.client()
+            status, _, body = await readiness_client.request(b"GET /health/ready HTTP/1.1\r\n\r\n")
+            assert (status, body) == (200, b"ready\n")
+            idle_clients.append(await gateway.client())
+            assert len(gateway.client_server.connections) <= open_limit + client_server.CLOSING_CONNECTIONS
+        closed_first = idle_clients[0 if long_idle else gateway.client_server.limit]
+        assert long_idle or (await closed_first.read_response())[0] == 503
+        assert await closed_first.is_closed()
 
 
 @runs_in_event_loop
-async def test_a_client_that_sends_nothing_is_closed_long_before_an_idle_one() -> None:
+async def test_a_client_that_sends_nothing_times_out_before_an_idle_one() -> None:
     async with running_gateway() as gateway:
         client = await gateway.client()
         await gateway.serve_request(client)
-        (known,) = gateway.client_server.connections
-        peer = await gateway.client()
+        (served_connection,) = gateway.client_server.connections
+        silent_client = await gateway.client()
         await wait_until(lambda: len(gateway.client_server.connections) == 2)
         for connection in gateway.client_server.connections:
             connection.last_activity -= client_server.FIRST_REQUEST_TIMEOUT_S + 0.1
             connection.reader.began_at -= client_server.FIRST_REQUEST_TIMEOUT_S + 0.1
         gateway.client_server.sweep()
-        assert await peer.is_closed()
-        assert gateway.client_server.connections == {known}
+        assert await silent_client.is_closed()
+        assert gateway.client_server.connections == {served_connection}
         await gateway.serve_request(client)
 
 
@@ -94,39 +94,39 @@
 async def test_a_slow_request_is_timed_from_its_first_byte() -> None:
     """Not from its latest one, or a client that sends one now and then would never be answered."""
     async with running_gateway() as gateway:
-        peer = await gateway.client()
-        peer.send(b"GET /look HTT")
+        client = await gateway.client()
+        client.send(b"GET /look HTT")
         await wait_until(lambda: any(not c.is_idle for c in gateway.client_server.connections))
         (connection,) = gateway.client_server.connections
         gateway.client_server.sweep()
         assert not connection.reader.is_stopped
         connection.reader.began_at -= client_server.REQUEST_READ_TIMEOUT_S + 0.1
         last_activity, connection.last_activity = connection.last_activity, 0.0
-        peer.send(b"P")
+        client.send(b"P")
         await wait_until(lambda: connection.last_activity >= last_activity)
         gateway.client_server.sweep()
-        assert (await peer.read_response())[0] == 408
-        assert await peer.is_closed()
+        assert (await client.read_response())[0] == 408
+        assert await client.is_closed()
 
 
 @runs_in_event_loop
 async def test_the_first_request_is_timed_from_connecting() -> None:
     """Else a client that sends its first byte after 2 s, and no more, would wait for more than 4 s."""
     async with running_gateway() as gateway:
-        peer = await gateway.client()
+        client = await gateway.client()
         await wait_until(lambda: bool(gateway.client_server.connections))
         (connection,) = gateway.client_server.connections
         connection.reader.began_at -= client_server.FIRST_REQUEST_TIMEOUT_S + 0.1
-        peer.send(b"GET /look HTT")
+        client.send(b"GET /look HTT")
         await wait_until(lambda: connection.reader.is_mid_request)
         gateway.client_server.sweep()
         assert connection.reader.is_stopped
-        assert (await peer.read_response())[0] == 408
-        assert await peer.is_closed()
+        assert (await client.read_response())[0] == 408
+        assert await client.is_closed()
 
 
 @runs_in_event_loop
-async def test_empty_lines_after_a_request_do_not_begin_another() -> None:
+async def test_empty_lines_after_a_request_are_not_a_partial_request() -> None:
     """They are not answered 408 on an idle connection."""
     async with running_gateway() as gateway:
         client = await gateway.client()
@@ -141,7 +141,7 @@
 
 
 @runs_in_event_loop
-async def test_a_request_in_the_socket_is_served_although_its_connection_is_past_the_idle_timeout() -> None:
+async def test_an_unread_request_is_served_although_its_connection_is_past_the_idle_timeout() -> None:
     """Its client would have to send it once more on a new connection."""
     async with running_gateway() as gateway:
         client = await gateway.client()
@@ -158,7 +158,7 @@
 
 
 @runs_in_event_loop
-async def test_shutdown_does_not_close_over_a_request_whose_turn_has_come(
+async def test_shutdown_answers_the_next_pipelined_request_before_it_closes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Between the answer to one request and the start of the next an answer is still owed."""
@@ -169,17 +169,17 @@
         client.send(encode_request() + encode_request())
         received = await gateway.endpoint.requests.get()
         gateway.client_server.draining = True
-        finish = asyncio.create_task(gateway.client_server.close_connections())
+        shutdown = asyncio.create_task(gateway.client_server.close_connections())
         await asyncio.sleep(0)
         received.respond()
         assert (await client.read_response())[0] == 200
         (await gateway.endpoint.requests.get()).respond()
-        status, head, _ = await client.read_response()
+        status, headers, _ = await client.read_response()
         assert status == 200
-        assert head["connection"] == "close"
+        assert headers["connection"] == "close"
         assert await client.is_closed()
         client.writer.close()
-        await finish
+        await shutdown
 
 
 @runs_in_event_loop
@@ -193,12 +193,12 @@
         client.send(encode_request("buy", body=b"12", Content_Length="3"))
         await wait_until(lambda: any(c.reader.is_mid_request for c in gateway.client_server.connections))
         gateway.client_server.draining = True
-        finish = asyncio.create_task(gateway.client_server.close_connections())
-        status, head, _ = await client.read_response()
+        shutdown = asyncio.create_task(gateway.client_server.close_connections())
+        status, headers, _ = await client.read_response()
         assert status == 503
-        assert head["connection"] == "close"
+        assert headers["connection"] == "close"
         client.send(b"3")
         assert await client.is_closed()
         client.writer.close()
-        await finish
+        await shutdown
         assert gateway.endpoint.requests.empty()
--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -20,7 +20,7 @@
 from load_balancer.gateway.discovery_messages import endpoint_id_of
 from tests.decisions.driver import IDEMPOTENT, Driver, timers
 from tests.gateway.configurations import settings
-from tests.gateway.discovery_helpers import next_list, other_discovery, watched
+from tests.gateway.discovery_helpers import gateway_with_watch, next_list, other_discovery
 from tests.gateway.running_gateway import running_gateway
 from tests.gateway.stub_discovery import encode_chunk, endpoint_entry, watch_event
 from tests.gateway.stub_server import send_now
@@ -29,17 +29,17 @@
 async def test_a_watch_starts_from_the_cached_index_and_brings_changes() -> None:
     async with running_gateway() as gateway:
         assert await next_list(gateway) == (ListKind.CACHED, ["h0 ready"])
-        first, watch = await gateway.discovery.watches.get()
-        assert first == "GET /registry/instances?stream=1&index=7 HTTP/1.1"
-        h1 = endpoint_entry(
+        request_line, watch = await gateway.discovery.watches.get()
+        assert request_line == "GET /registry/instances?stream=1&index=7 HTTP/1.1"
+        h1_entry = endpoint_entry(
             "h1", gateway.endpoint.address, since_ms=1_700_000_000_123, zone="b", weight=1.5, group=3, new=1
         )
-        watch.write(encode_chunk(watch_event(h1)) + encode_chunk("\n"))
+        watch.write(encode_chunk(watch_event(h1_entry)) + encode_chunk("\n"))
         event = await gateway.wait_for_event(EndpointListReceived)
         assert event.kind is ListKind.DELTA
-        (server,) = event.endpoints
-        assert (server.zone, server.kind, server.group, server.weight) == (1, 0, 3, 1.5)
-        assert server.started_us == 1_700_000_000_123_000
+        (endpoint,) = event.endpoints
+        assert (endpoint.zone, endpoint.kind, endpoint.group, endpoint.weight) == (1, 0, 3, 1.5)
+        assert endpoint.started_us == 1_700_000_000_123_000
         watch.write(encode_chunk(watch_event(endpoint_entry("h1", gateway.endpoint.address, "left"))))
         assert await next_list(gateway) == (ListKind.DELTA, ["h1 gone"])
         watch.write(encode_chunk(watch_event(endpoint_entry("h2", gateway.endpoint.address), snapshot=True)))
@@ -59,26 +59,28 @@
 
 def test_the_silence_timeout_leaves_time_for_a_failed_call_and_a_successful_one() -> None:
     """Longer, and the call after the silence would not be answered within the deadline for changes."""
-    line_s, call_s = 2.0, 1.0
+    line_interval_s, answer_time_s = 2.0, 1.0
     waits_s = retry_waits_s(2, Settings((IDEMPOTENT,), endpoints_are_pushed=False))
     assert (
-        line_s + 0.5 < discovery_call.SILENCE_TIMEOUT_S < discovery.CHANGE_DEADLINE_S - sum(waits_s) - call_s
+        line_interval_s + 0.5
+        < discovery_call.SILENCE_TIMEOUT_S
+        < discovery.CHANGE_DEADLINE_S - sum(waits_s) - answer_time_s
     )
 
 
-async def test_a_pushed_list_is_watched_unasked_and_the_watch_is_reopened(
+async def test_a_pushed_list_is_watched_without_a_subscription_and_the_watch_is_reopened(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(discovery, "REOPEN_BACKOFF_S", 0.0)
-    async with watched(settings={**settings(), "membershipMode": "pushed"}) as (gateway, watch):
+    async with gateway_with_watch(settings={**settings(), "membershipMode": "pushed"}) as (gateway, watch):
         watch.close()
         _, watch = await gateway.discovery.watches.get()
         watch.write(encode_chunk(watch_event(endpoint_entry("h1", gateway.endpoint.address))))
         assert await next_list(gateway) == (ListKind.DELTA, ["h1 ready"])  # and no error in between
 
 
-async def test_an_address_that_changes_is_followed() -> None:
-    async with watched() as (gateway, watch):
+async def test_a_changed_endpoint_address_is_applied() -> None:
+    async with gateway_with_watch() as (gateway, watch):
         watch.write(encode_chunk(watch_event(endpoint_entry("h0", "127.0.0.1:9"))))
         await next_list(gateway)
         endpoint = gateway.proxy.upstream.endpoints[endpoint_id_of("h0")]
@@ -88,27 +90,27 @@
         assert endpoint.draining
 
 
-async def test_a_changed_address_repeats_the_watch_and_the_poll_there() -> None:
-    async with watched() as (gateway, old), other_discovery() as elsewhere:
-        old.write(encode_chunk(watch_event(endpoint_entry("h1", gateway.endpoint.address), index=8)))
+async def test_the_watch_and_the_poll_are_repeated_at_a_changed_address() -> None:
+    async with gateway_with_watch() as (gateway, old_watch), other_discovery() as new_discovery:
+        old_watch.write(encode_chunk(watch_event(endpoint_entry("h1", gateway.endpoint.address), index=8)))
         await next_list(gateway)
-        elsewhere.complete_list = watch_event(
+        new_discovery.complete_list = watch_event(
             endpoint_entry("h3", gateway.endpoint.address), index=9, snapshot=True
         ).encode()
         gateway.proxy.execute(PollEndpoints())
-        gateway.proxy.discovery.change_address(parse_address(elsewhere.address))
-        first, watch = await elsewhere.watches.get()
-        assert first == "GET /registry/instances?stream=1&index=8 HTTP/1.1"
+        gateway.proxy.discovery.change_address(parse_address(new_discovery.address))
+        request_line, watch = await new_discovery.watches.get()
+        assert request_line == "GET /registry/instances?stream=1&index=8 HTTP/1.1"
         assert await next_list(gateway) == (ListKind.COMPLETE, ["h3 ready"])
         watch.write(encode_chunk(watch_event(endpoint_entry("h2", gateway.endpoint.address), index=10)))
         assert await next_list(gateway) == (ListKind.DELTA, ["h2 ready"])
 
 
-async def test_a_changed_address_is_asked_at_once_while_a_failed_call_backs_off() -> None:
+async def test_a_changed_address_is_called_at_once_during_the_backoff_after_a_failed_call() -> None:
     """The retry may be 4 s off, which is all the time until a change must be known."""
-    changed = settings()
-    changed["contract"] = {"mustAskInUs": 4_000_000_000, "stopSendingWithinUs": 0}
-    async with running_gateway(discovery="127.0.0.1:1", settings=changed) as gateway:
+    changed_settings = settings()
+    changed_settings["contract"] = {"mustAskInUs": 4_000_000_000, "stopSendingWithinUs": 0}
+    async with running_gateway(discovery="127.0.0.1:1", settings=changed_settings) as gateway:
         await next_list(gateway)
         gateway.proxy.discovery.set_subscribed(True)
         assert await next_list(gateway) == (ListKind.ERROR, [])
@@ -121,17 +123,17 @@
 
 
 async def test_messages_of_the_old_address_are_ignored() -> None:
-    async with watched() as (gateway, old), other_discovery() as elsewhere:
-        send_now(old, encode_chunk(watch_event(endpoint_entry("h9", gateway.endpoint.address))))
-        gateway.proxy.discovery.change_address(parse_address(elsewhere.address))
-        _, watch = await elsewhere.watches.get()
+    async with gateway_with_watch() as (gateway, old_watch), other_discovery() as new_discovery:
+        send_now(old_watch, encode_chunk(watch_event(endpoint_entry("h9", gateway.endpoint.address))))
+        gateway.proxy.discovery.change_address(parse_address(new_discovery.address))
+        _, watch = await new_discovery.watches.get()
         watch.write(encode_chunk(watch_event(endpoint_entry("h2", gateway.endpoint.address))))
         assert await next_list(gateway) == (ListKind.DELTA, ["h2 ready"])
 
 
 async def test_an_invalid_address_is_an_error_and_is_retried() -> None:
     """Resolving it raises another error than OSError."""
-    async with watched() as (gateway, _):
+    async with gateway_with_watch() as (gateway, _):
         gateway.proxy.discovery.change_address(("a..b", 80))
         assert await next_list(gateway) == (ListKind.ERROR, [])
         gateway.proxy.discovery.change_address(parse_address(gateway.discovery.address))
--- a/tests/gateway/test_discovery_call.py
+++ b/tests/gateway/test_discovery_call.py
@@ -7,25 +7,25 @@
 from load_balancer.decisions.actions import PollEndpoints
 from load_balancer.decisions.endpoint import ListKind
 from load_balancer.gateway import discovery_call
-from tests.gateway.discovery_helpers import next_list, watched
+from tests.gateway.discovery_helpers import gateway_with_watch, next_list
 from tests.gateway.running_gateway import running_gateway
 from tests.gateway.stub_discovery import encode_chunk, endpoint_entry, watch_event
 
 
-@pytest.mark.parametrize("end", [b"0\r\n\r\n", b"no chunk\r\n", b""])
-async def test_a_watch_that_breaks_is_an_error_and_is_retried(end: bytes) -> None:
-    async with watched() as (gateway, watch):
-        watch.write(encode_chunk(watch_event(index=12)) + end)
+@pytest.mark.parametrize("last_bytes", [b"0\r\n\r\n", b"no chunk\r\n", b""])
+async def test_a_watch_that_ends_is_reported_as_an_error_and_reopened(last_bytes: bytes) -> None:
+    async with gateway_with_watch() as (gateway, watch):
+        watch.write(encode_chunk(watch_event(index=12)) + last_bytes)
         assert await next_list(gateway) == (ListKind.DELTA, [])
         watch.close()
         assert await next_list(gateway) == (ListKind.ERROR, [])
-        first, _ = await gateway.discovery.watches.get()
-        assert "index=12" in first
+        request_line, _ = await gateway.discovery.watches.get()
+        assert "index=12" in request_line
         assert gateway.proxy.upstream.endpoints  # the old list stands
 
 
-async def test_a_watch_cut_in_mid_line_resumes_after_the_last_complete_one() -> None:
-    async with watched() as (gateway, watch):
+async def test_a_watch_cut_within_a_line_resumes_after_the_last_complete_line() -> None:
+    async with gateway_with_watch() as (gateway, watch):
         watch.write(
             encode_chunk(watch_event(index=12))
             + encode_chunk(watch_event(endpoint_entry("h1", gateway.endpoint.address), index=13)[:30])
@@ -33,8 +33,8 @@
         assert await next_list(gateway) == (ListKind.DELTA, [])
         watch.transport.abort()
         assert await next_list(gateway) == (ListKind.ERROR, [])
-        first, watch = await gateway.discovery.watches.get()
-        assert "index=12" in first
+        request_line, watch = await gateway.discovery.watches.get()
+        assert "index=12" in request_line
         # An index that runs backwards is asked from again: more comes than is new, and never less.
         watch.write(encode_chunk(watch_event(endpoint_entry("h2", gateway.endpoint.address), index=5)))
         assert await next_list(gateway) == (ListKind.DELTA, ["h2 ready"])
@@ -45,19 +45,19 @@
 
 async def test_a_silent_watch_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery_call, "SILENCE_TIMEOUT_S", 0.05)
-    async with watched() as (gateway, _):
+    async with gateway_with_watch() as (gateway, _):
         assert await next_list(gateway) == (ListKind.ERROR, [])
         await gateway.discovery.watches.get()
 
 
 async def test_a_list_over_the_size_limit_ends_its_watch(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery_call, "MAX_MESSAGE_BYTES", 2_000)
-    async with watched() as (gateway, watch):
+    async with gateway_with_watch() as (gateway, watch):
         watch.write(encode_chunk("{\n" + "x" * 1_000 + "\n") + encode_chunk("x" * 1_000))
         assert await next_list(gateway) == (ListKind.ERROR, [])
 
 
-async def test_discovery_that_is_down_is_an_error() -> None:
+async def test_a_refused_call_is_reported_as_an_error_and_retried() -> None:
     async with running_gateway(discovery="127.0.0.1:1") as gateway:
         await next_list(gateway)
         assert await next_list(gateway) == (ListKind.ERROR, [])
--- a/tests/gateway/test_discovery_messages.py
+++ b/tests/gateway/test_discovery_messages.py
@@ -9,12 +9,12 @@
 from load_balancer.decisions.endpoint import ListKind
 from load_balancer.gateway import event_log
 from load_balancer.gateway.discovery_messages import JsonStreamSplitter, endpoint_id_of
-from tests.gateway.discovery_helpers import next_list, watched
+from tests.gateway.discovery_helpers import gateway_with_watch, next_list
 from tests.gateway.stub_discovery import encode_chunk, endpoint_entry, watch_event
 
 
-async def test_a_line_in_pieces_is_one_line() -> None:
-    async with watched() as (gateway, watch):
+async def test_a_line_in_several_chunks_is_one_message() -> None:
+    async with gateway_with_watch() as (gateway, watch):
         line = watch_event(endpoint_entry("h1", gateway.endpoint.address))
         watch.write(encode_chunk(line[:30]))
         await watch.drain()
@@ -39,33 +39,37 @@
 ]
 
 
-@pytest.mark.parametrize("bad", BAD_ENTRIES)
-async def test_a_malformed_entry_is_skipped(bad: object, caplog: pytest.LogCaptureFixture) -> None:
-    async with watched() as (gateway, watch):
-        watch.write(encode_chunk(watch_event(bad, endpoint_entry("h2", gateway.endpoint.address))))
+@pytest.mark.parametrize("malformed_entry", BAD_ENTRIES)
+async def test_a_malformed_entry_is_skipped(
+    malformed_entry: object, caplog: pytest.LogCaptureFixture
+) -> None:
+    async with gateway_with_watch() as (gateway, watch):
+        watch.write(
+            encode_chunk(watch_event(malformed_entry, endpoint_entry("h2", gateway.endpoint.address)))
+        )
         assert await next_list(gateway) == (ListKind.DELTA, ["h2 ready"])
         assert "skipped a list entry" in caplog.text
 
 
-@pytest.mark.parametrize("bad", ["no json", "[]", '{"index":9}', '{"endpoints":{}}', "\xff"])
-async def test_a_malformed_line_is_skipped(bad: str, caplog: pytest.LogCaptureFixture) -> None:
-    async with watched() as (gateway, watch):
+@pytest.mark.parametrize("malformed_line", ["no json", "[]", '{"index":9}', '{"endpoints":{}}', "\xff"])
+async def test_a_malformed_line_is_skipped(malformed_line: str, caplog: pytest.LogCaptureFixture) -> None:
+    async with gateway_with_watch() as (gateway, watch):
         watch.write(
-            encode_chunk(bad + "\n")
+            encode_chunk(malformed_line + "\n")
             + encode_chunk(watch_event(endpoint_entry("h2", gateway.endpoint.address)))
         )
         assert await next_list(gateway) == (ListKind.DELTA, ["h2 ready"])
         assert "skipped a message of discovery" in caplog.text
 
 
-class Piece(bytes):
+class CountedBytes(bytes):
     """Counts the bytes that are copied as it is added to others."""
 
-    added = 0
+    copied = 0
 
-    def __radd__(self, before: bytes) -> bytes:
-        Piece.added += len(before) + len(self)
-        return bytes(before) + bytes(self)
+    def __radd__(self, prefix: bytes) -> bytes:
+        CountedBytes.copied += len(prefix) + len(self)
+        return bytes(prefix) + bytes(self)
 
 
 @pytest.mark.parametrize("indent", [None, 1])
@@ -73,12 +77,16 @@
     text = json.dumps(
         json.loads(watch_event(*(endpoint_entry(f"h{n}", "127.0.0.1:9") for n in range(200)))), indent=indent
     )
-    data, splitter, Piece.added = text.encode() + b"\n\n" + text.encode()[:50], JsonStreamSplitter(), 0
-    found = []
+    data, splitter, CountedBytes.copied = (
+        text.encode() + b"\n\n" + text.encode()[:50],
+        JsonStreamSplitter(),
+        0,
+    )
+    messages = []
     for start in range(0, len(data), 100):
-        found += splitter.feed(Piece(data[start : start + 100]))
-    assert found == [text.encode()]
-    assert Piece.added <= len(data)
+        messages += splitter.feed(CountedBytes(data[start : start + 100]))
+    assert messages == [text.encode()]
+    assert CountedBytes.copied <= len(data)
     newlines = text[:50].count("\n")
     assert splitter.buffered_bytes == 50 - newlines
     assert splitter.completed == 2
@@ -86,17 +94,17 @@
 
 async def test_an_indented_list_is_one_message() -> None:
     """Its lines are not messages of their own."""
-    async with watched() as (gateway, watch):
-        whole = json.loads(
+    async with gateway_with_watch() as (gateway, watch):
+        message = json.loads(
             watch_event(
                 endpoint_entry("h1", gateway.endpoint.address, note="} ["),
                 endpoint_entry("h2", gateway.endpoint.address),
             )
         )
         for indent in (2, 0, "\t"):
-            text = json.dumps({**whole, "snapshot": True}, indent=indent) + "\n"
-            for part in (text[:40], text[40:90], text[90:]):
-                watch.write(encode_chunk(part))
+            text = json.dumps({**message, "snapshot": True}, indent=indent) + "\n"
+            for fragment in (text[:40], text[40:90], text[90:]):
+                watch.write(encode_chunk(fragment))
             assert await next_list(gateway) == (ListKind.COMPLETE, ["h1 ready", "h2 ready"])
             watch.write(
                 encode_chunk("\n")
@@ -105,15 +113,17 @@
             assert await next_list(gateway) == (ListKind.DELTA, ["h2 draining"])
 
 
-@pytest.mark.parametrize("bad", ["{", '{"index": 9, "endpoints": [', "[[[", "}"])
-async def test_a_truncated_message_does_not_cost_the_next(bad: str, caplog: pytest.LogCaptureFixture) -> None:
-    async with watched() as (gateway, watch):
+@pytest.mark.parametrize("truncated", ["{", '{"index": 9, "endpoints": [', "[[[", "}"])
+async def test_a_truncated_message_does_not_lose_the_next_one(
+    truncated: str, caplog: pytest.LogCaptureFixture
+) -> None:
+    async with gateway_with_watch() as (gateway, watch):
         watch.write(
-            encode_chunk(bad + "\n")
+            encode_chunk(truncated + "\n")
             + encode_chunk(watch_event(endpoint_entry("h2", gateway.endpoint.address)))
         )
         assert await next_list(gateway) == (ListKind.DELTA, ["h2 ready"])
-        watch.write(encode_chunk(bad + "\n") + encode_chunk("\n"))
+        watch.write(encode_chunk(truncated + "\n") + encode_chunk("\n"))
         watch.write(
             encode_chunk(
                 json.dumps(json.loads(watch_event(endpoint_entry("h3", gateway.endpoint.address))), indent=1)
@@ -127,24 +137,24 @@
 
 async def test_a_complete_list_keeps_endpoints_whose_entries_cannot_be_read() -> None:
     """An endpoint is not gone because its entry cannot be read."""
-    async with watched(endpoints=2) as (gateway, watch):
-        listed = [
+    async with gateway_with_watch(endpoint_count=2) as (gateway, watch):
+        entries = [
             endpoint_entry("h0", "nowhere"),
             endpoint_entry("h2", gateway.endpoint.address),
             endpoint_entry("h3", "nowhere"),
         ]
-        watch.write(encode_chunk(watch_event(*listed, snapshot=True)))
+        watch.write(encode_chunk(watch_event(*entries, snapshot=True)))
         assert await next_list(gateway) == (ListKind.COMPLETE, ["h0 ready", "h2 ready"])
-        hosts = gateway.proxy.upstream.endpoints
-        assert [hosts[endpoint_id_of(f"h{n}")].draining for n in range(3)] == [False, True, False]
+        endpoints = gateway.proxy.upstream.endpoints
+        assert [endpoints[endpoint_id_of(f"h{n}")].draining for n in range(3)] == [False, True, False]
 
 
-@pytest.mark.parametrize("listed", [[], [7, {}], [endpoint_entry("h7", "nowhere")]])
+@pytest.mark.parametrize("entries", [[], [7, {}], [endpoint_entry("h7", "nowhere")]])
 async def test_a_complete_list_without_readable_entries_is_ignored(
-    listed: list[object], caplog: pytest.LogCaptureFixture
+    entries: list[object], caplog: pytest.LogCaptureFixture
 ) -> None:
-    async with watched() as (gateway, watch):
-        watch.write(encode_chunk(watch_event(*listed, snapshot=True)))
+    async with gateway_with_watch() as (gateway, watch):
+        watch.write(encode_chunk(watch_event(*entries, snapshot=True)))
         watch.write(encode_chunk(watch_event(endpoint_entry("h2", gateway.endpoint.address))))
         assert await next_list(gateway) == (ListKind.DELTA, ["h2 ready"])
         assert "a complete list without an endpoint" in caplog.text
--- a/tests/gateway/test_event_log.py
+++ b/tests/gateway/test_event_log.py
@@ -41,7 +41,7 @@
     assert all(set(event.key) <= set(event.fields) for event in EVENTS.values())
 
 
-def test_renamed_names_lead_to_registered_ones_and_are_free() -> None:
+def test_renamed_names_map_to_registered_ones_and_are_not_reused() -> None:
     assert set(RENAMED_EVENTS.values()) <= EVENTS.keys()
     assert set(RENAMED_FIELDS.values()) <= FIELDS.keys()
     assert not RENAMED_EVENTS.keys() & EVENTS.keys()
@@ -52,60 +52,60 @@
     logged = {"log.overflow"}  # by repeat_counter.py
     for path in sorted((ROOT / "load_balancer").rglob("*.py")):
         for node in (node for node in ast.walk(ast.parse(path.read_text())) if isinstance(node, ast.Call)):
-            called, where = ast.unparse(node.func), f"{path.name}:{node.lineno}"
-            bypass = re.fullmatch(r"(log|logging|print)(\.\w+)?", called)
-            assert not bypass or path.name in ("cli.py", "event_log.py", "adapter.py"), where
+            function, location = ast.unparse(node.func), f"{path.name}:{node.lineno}"
+            bypass = re.fullmatch(r"(log|logging|print)(\.\w+)?", function)
+            assert not bypass or path.name in ("cli.py", "event_log.py", "adapter.py"), location
             fields = {field.arg for field in node.keywords}
-            if called in ("self.log.write", "self._log.write"):
+            if function in ("self.log.write", "self._log.write"):
                 name = node.args[1]  # after the time
-            elif called == "log_event" and not isinstance(node.args[0], ast.Attribute):
+            elif function == "log_event" and not isinstance(node.args[0], ast.Attribute):
                 name = node.args[0]
             else:
                 continue
-            assert isinstance(name, ast.Constant), where
+            assert isinstance(name, ast.Constant), location
             event = EVENTS[name.value]
-            assert fields - {None, "level"} <= set(event.fields), where
-            assert None in fields or event.sentence_fields <= fields, where
+            assert fields - {None, "level"} <= set(event.fields), location
+            assert None in fields or event.sentence_fields <= fields, location
             logged.add(event.name)
     assert logged == EVENTS.keys()
 
 
-class Loop:
+class ManualLoop:
     """A loop whose time is set by hand; it has one timer at most."""
 
-    now, due, call = 0.0, 0.0, None
+    now_s, due_s, call = 0.0, 0.0, None
 
     def __init__(self) -> None:
         self.written: list[tuple[float, str, Fields]] = []
         self.counter = RepeatCounter(self.write, lambda: self)  # type: ignore[arg-type, return-value]
 
     def write(self, event: RegisteredEvent, fields: Fields) -> None:
-        self.written.append((self.now, event.name, fields))
+        self.written.append((self.now_s, event.name, fields))
 
     def time(self) -> float:
-        return self.now
+        return self.now_s
 
     def call_later(self, delay_s: float, call: Any) -> Any:
         assert self.call is None
-        self.due, self.call = self.now + delay_s, call
+        self.due_s, self.call = self.now_s + delay_s, call
         return self
 
     def cancel(self) -> None:
         self.call = None
 
-    def run_until(self, until: float) -> None:
-        while self.call is not None and self.due <= until:
-            self.now, call, self.call = max(self.now, self.due), self.call, None
+    def run_until(self, until_s: float) -> None:
+        while self.call is not None and self.due_s <= until_s:
+            self.now_s, call, self.call = max(self.now_s, self.due_s), self.call, None
             call()
-        self.now = until
+        self.now_s = until_s
 
 
 def test_repeats_are_written_once_a_second_with_their_count() -> None:
-    loop, event = Loop(), EVENTS["request.failed"]
+    loop, event = ManualLoop(), EVENTS["request.failed"]
     counter, written = loop.counter, loop.written
-    for n in range(150):  # for a second and a half
-        loop.run_until(n / 100)
-        counter.add(event, {"error": "a", "request_id": str(n)})
+    for index in range(150):  # for a second and a half
+        loop.run_until(index / 100)
+        counter.add(event, {"error": "a", "request_id": str(index)})
     counter.add(event, {"error": "b"})
     loop.run_until(9.0)
     assert written == [
@@ -120,36 +120,36 @@
     assert written[-1] == (9.0, "request.failed", {"error": "a"})
 
 
-@pytest.mark.parametrize("end", ["timer", "flush", "another loop", "late timer"])
-def test_every_event_is_written_or_counted(end: str) -> None:
+@pytest.mark.parametrize("trigger", ["timer", "flush", "another loop", "late timer"])
+def test_every_event_is_written_or_counted(trigger: str) -> None:
     """Beyond the keys that are kept, by event alone: the memory does not grow with the events."""
-    loop, event, came = Loop(), EVENTS["library.message"], 30 * MAX_COUNTED_KEYS
+    loop, event, event_count = ManualLoop(), EVENTS["library.message"], 30 * MAX_COUNTED_KEYS
     counter, written = loop.counter, loop.written
-    for n in range(came):
-        counter.add(event, {"message": str(n // 3), "logger": "x"})
+    for index in range(event_count):
+        counter.add(event, {"message": str(index // 3), "logger": "x"})
     assert len(written) == len(counter.windows) == MAX_COUNTED_KEYS
-    if end == "flush":
+    if trigger == "flush":
         counter.flush()
-    elif end == "another loop":
-        counter.get_loop = Loop  # type: ignore[assignment]
+    elif trigger == "another loop":
+        counter.get_loop = ManualLoop  # type: ignore[assignment]
     else:
-        loop.now = 1.0 if end == "timer" else 1.5
-    if end in ("another loop", "late timer"):
-        came += 1
+        loop.now_s = 1.0 if trigger == "timer" else 1.5
+    if trigger in ("another loop", "late timer"):
+        event_count += 1
         counter.add(event, {"message": "0", "logger": "x"})
-    if end != "another loop":
+    if trigger != "another loop":
         loop.run_until(9.0)
     assert loop.call is None
-    (others,) = (fields for _, name, fields in written if name == "log.overflow")
-    assert others["event_counts"] == f"library.message:{others['repeated']}"
-    assert sum(int(str(fields.get("repeated", 1))) for *_, fields in written) == came
+    (overflow,) = (fields for _, name, fields in written if name == "log.overflow")
+    assert overflow["event_counts"] == f"library.message:{overflow['repeated']}"
+    assert sum(int(str(fields.get("repeated", 1))) for *_, fields in written) == event_count
 
 
-@pytest.mark.parametrize("form", ["text", "json"])
-def test_events_in_either_form(
-    form: str, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("log_format", ["text", "json"])
+def test_events_are_written_as_text_or_json(
+    log_format: str, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def say() -> None:
+    async def log_sample_events() -> None:
         event_log.log_event(
             "circuit_breaker.changed", endpoint_id=5, request_class="buy card", state="open", cooldown_s=2.0
         )
@@ -164,89 +164,91 @@
 
     event_log.flush()
     caplog.set_level(logging.INFO)
-    monkeypatch.setattr(caplog.handler, "formatter", make_formatter({"ROUTER_LOG": form}))
-    run_in_event_loop(say())
+    monkeypatch.setattr(caplog.handler, "formatter", make_formatter({"ROUTER_LOG": log_format}))
+    run_in_event_loop(log_sample_events())
     event_log.flush()
-    fault = r"""ERROR failed on a request error="?RuntimeError\('a fault'\)"? request_id=7"""
+    failure_line = r"""ERROR failed on a request error="?RuntimeError\('a fault'\)"? request_id=7"""
     expected = rf"""@INFO endpoint 5: circuit breaker open request_class="buy card" cooldown_s=2.0
 load_balancer: no name
 @ERROR two\nlines more logger=asyncio
-@{fault}\nTraceback (?s:.*)\nRuntimeError: a fault
-@{fault} repeated=1\n""".replace("@", r"\d{4}-\d\d-\d\d \d\d:\d\d:\d\d,\d{3} ")
-    if form == "text":
+@{failure_line}\nTraceback (?s:.*)\nRuntimeError: a fault
+@{failure_line} repeated=1\n""".replace("@", r"\d{4}-\d\d-\d\d \d\d:\d\d:\d\d,\d{3} ")
+    if log_format == "text":
         assert re.fullmatch(expected, caplog.text)
         return
     logged = [json.loads(line) for line in caplog.text.splitlines()]
     assert all(re.fullmatch(r"\d{4}-\d\d-\d\dT[\d:]{8}\.\d{3}\+00:00", event.pop("time")) for event in logged)
-    breaker, _, library, raised, again = logged
-    changed = {
+    breaker_event, _, library_event, first_failure, repeated_failure = logged
+    expected_breaker = {
         "level": "info",
         "event": "circuit_breaker.changed",
         "endpoint_id": 5,
         "request_class": "buy card",
         "state": "open",
     }
-    assert breaker == changed | {"cooldown_s": 2.0}
-    assert library == {
+    assert breaker_event == expected_breaker | {"cooldown_s": 2.0}
+    assert library_event == {
         "level": "error",
         "event": "library.message",
         "logger": "asyncio",
         "message": "two\nlines more",
     }
-    assert raised["exception"].endswith("RuntimeError: a fault")
-    assert again.keys() == {"level", "event", "error", "request_id", "repeated"}
+    assert first_failure["exception"].endswith("RuntimeError: a fault")
+    assert repeated_failure.keys() == {"level", "event", "error", "request_id", "repeated"}
 
 
-def test_a_process_asked_for_json_writes_every_event_as_json(tmp_path: Path) -> None:
+def test_a_process_set_to_json_writes_every_event_as_json(tmp_path: Path) -> None:
     """Repeats that are counted when a start fails, its loop closed, are written too."""
     path = tmp_path / "config.json"
     with socket.create_server(("127.0.0.1", 0)) as listening:
         listen = f"127.0.0.1:{listening.getsockname()[1]}"
         raw = configuration({}, "127.0.0.1:1", listen=listen, known={"endpoints": [7, 8, 9]})
         path.write_text(json.dumps(raw))
-        logged = [json.loads(line) for line in run_process(path, ROUTER_LOG="json").stderr.splitlines()]
+        events = [json.loads(line) for line in run_process(path, ROUTER_LOG="json").stderr.splitlines()]
     assert (
-        sum(event.get("repeated", 1) for event in logged if event["event"] == "discovery.entry_skipped") == 3
+        sum(event.get("repeated", 1) for event in events if event["event"] == "discovery.entry_skipped") == 3
     )
-    assert [event["event"] for event in logged].count("gateway.start_failed") == 1
-    (line,) = run_process("", ROUTER_LOG="json").stderr.splitlines()
-    assert json.loads(line)["event"] == "config.invalid"
+    assert [event["event"] for event in events].count("gateway.start_failed") == 1
+    (last_line,) = run_process("", ROUTER_LOG="json").stderr.splitlines()
+    assert json.loads(last_line)["event"] == "config.invalid"
 
 
-async def test_an_event_of_a_request_names_it(caplog: pytest.LogCaptureFixture) -> None:
+async def test_an_event_of_a_request_names_the_request(caplog: pytest.LogCaptureFixture) -> None:
     """With its class and tenant by name, and the endpoint by address; suppressed lines are counted."""
     caplog.set_level(logging.INFO)
     async with running_gateway(
         settings={**settings(), "tenants": [{"name": "acme"}, {"name": "zeta"}]}
     ) as gateway:
-        (server,) = gateway.proxy.upstream.endpoints
+        (endpoint_id,) = gateway.proxy.upstream.endpoints
         send: Any = Send
         gateway.proxy.balancer.log.suppressed = 3
         handle = gateway.proxy.balancer.handle
 
-        def broken(now_us: int, event: Event) -> list[Action]:
+        def handle_with_invalid_action(now_us: int, event: Event) -> list[Action]:
             if isinstance(event, RequestArrived):
-                fields = (("endpoint_id", server), ("request_class", 0), ("tenant", 1))
+                fields = (("endpoint_id", endpoint_id), ("request_class", 0), ("tenant", 1))
                 return [
                     LogEvent("circuit_breaker.changed", (*fields, ("state", "open"))),
-                    send("1", server, "no number"),
+                    send("1", endpoint_id, "no number"),
                 ]
             return handle(now_us, event)
 
-        gateway.proxy.balancer.handle = broken  # type: ignore[method-assign]
+        gateway.proxy.balancer.handle = handle_with_invalid_action  # type: ignore[method-assign]
         assert (await (await gateway.client()).request(encode_request(Tenant="zeta")))[0] == 500
         gateway.proxy.sweep()
-        logged: list[Any] = [record.msg for record in caplog.records if record.name == "load_balancer"]
-        breaker, failed, suppressed = (
-            event for event in logged if not event["event"].startswith("discovery")
+        events: list[Any] = [record.msg for record in caplog.records if record.name == "load_balancer"]
+        breaker_event, failed_event, suppressed_event = (
+            event for event in events if not event["event"].startswith("discovery")
         )
-        about = {
+        request_fields = {
             "request_class": gateway.proxy.config.names.classes[0],
             "tenant": "zeta",
-            "endpoint_id": server,
+            "endpoint_id": endpoint_id,
         }
-        about["address"] = gateway.endpoint.address
-        assert breaker == about | {"event": "circuit_breaker.changed", "state": "open"}
-        assert failed.items() >= (about | {"event": "action.failed", "request_id": "1"}).items()
-        assert suppressed == {"event": "balancer.suppressed", "suppressed": 3}
+        request_fields["address"] = gateway.endpoint.address
+        assert breaker_event == request_fields | {"event": "circuit_breaker.changed", "state": "open"}
+        assert (
+            failed_event.items() >= (request_fields | {"event": "action.failed", "request_id": "1"}).items()
+        )
+        assert suppressed_event == {"event": "balancer.suppressed", "suppressed": 3}
         assert not gateway.proxy.balancer.log.suppressed
--- a/tests/gateway/test_graceful_shutdown.py
+++ b/tests/gateway/test_graceful_shutdown.py
@@ -11,7 +11,7 @@
 from load_balancer.gateway import client_server
 from tests.gateway.event_loop import TEST_TIMEOUT_S, wait_until
 from tests.gateway.http_client import HttpClient, encode_request
-from tests.gateway.process_helpers import expect_last_answer
+from tests.gateway.process_helpers import expect_final_answer
 from tests.gateway.running_gateway import running_gateway
 
 
@@ -19,26 +19,26 @@
     """Clients go on sending for a moment, on new connections and on those that they have."""
     monkeypatch.setattr(client_server, "PARTIAL_REQUEST_GRACE_S", TEST_TIMEOUT_S)
     async with running_gateway() as gateway:
-        idle = await gateway.client()
-        await gateway.serve_request(idle)
+        idle_client = await gateway.client()
+        await gateway.serve_request(idle_client)
         gateway.client_server.draining = True
-        late = await gateway.client()
+        new_client = await gateway.client()
         assert (await (await gateway.client()).request(b"GET /health/ready HTTP/1.1\r\n\r\n"))[0] == 503
-        late.send(encode_request())
+        new_client.send(encode_request())
         received = await gateway.endpoint.requests.get()
-        idle.send(encode_request()[:20])
+        idle_client.send(encode_request()[:20])
         await wait_until(
             lambda: any(connection.reader.is_mid_request for connection in gateway.client_server.connections)
         )
         gateway.client_server.stop_listening()
-        finish = asyncio.create_task(gateway.client_server.close_connections())
+        shutdown = asyncio.create_task(gateway.client_server.close_connections())
         received.respond()
-        for client in (late, idle):
-            await expect_last_answer(client)
-            if client is late:
-                idle.send(encode_request()[20:])
+        for client in (new_client, idle_client):
+            await expect_final_answer(client)
+            if client is new_client:
+                idle_client.send(encode_request()[20:])
                 (await gateway.endpoint.requests.get()).respond()
-        await finish
+        await shutdown
 
 
 async def test_a_request_in_the_accept_queue_as_the_listener_closes_is_served(
@@ -52,15 +52,15 @@
         address = gateway.client_server.listener.sockets[0].getsockname()
         drain = gateway.client_server.drain()
         drain.send(None)  # now it waits for the end of accepting
-        queued = socket.create_connection(address)
-        queued.send(encode_request())
+        queued_socket = socket.create_connection(address)
+        queued_socket.send(encode_request())
         drain.send(None)  # which comes in this turn of the loop: it has accepted nothing since
-        end = asyncio.create_task(drain)
-        client = HttpClient(*await asyncio.open_connection(sock=queued))
+        drain_task = asyncio.create_task(drain)
+        client = HttpClient(*await asyncio.open_connection(sock=queued_socket))
         (await gateway.endpoint.requests.get()).respond()
-        await expect_last_answer(client)
+        await expect_final_answer(client)
         client.writer.close()
-        await end
+        await drain_task
 
 
 async def test_pipelined_requests_are_answered_before_a_drain_closes() -> None:
@@ -72,7 +72,7 @@
         received.respond()
         assert (await client.read_response())[0] == 200
         (await gateway.endpoint.requests.get()).respond()
-        await expect_last_answer(client)
+        await expect_final_answer(client)
 
 
 async def test_a_client_that_reads_nothing_does_not_delay_the_shutdown(
--- a/tests/gateway/test_health_checks.py
+++ b/tests/gateway/test_health_checks.py
@@ -14,9 +14,9 @@
 
 
 @runs_in_event_loop
-async def test_load_reports_come_with_responses() -> None:
-    reports = {**settings(), "report": {"how": "piggyback", "fields": ["inflight", "util"]}}
-    async with running_gateway(settings=reports) as gateway:
+async def test_load_reports_are_read_from_responses() -> None:
+    report_settings = {**settings(), "report": {"how": "piggyback", "fields": ["inflight", "util"]}}
+    async with running_gateway(settings=report_settings) as gateway:
         client = await gateway.client()
         client.send(encode_request())
         (await gateway.endpoint.requests.get()).respond(Server_Load="inflight=7,util=0.61")
@@ -26,9 +26,9 @@
 
 @pytest.mark.parametrize(("how", "path"), [("silent", "/health/live"), ("pull", "/stats")])
 @runs_in_event_loop
-async def test_health_checks(how: str, path: str) -> None:
-    probing = {**settings(probes=True), "report": {"how": how, "fields": ["queue"]}}
-    async with running_gateway(settings=probing) as gateway:
+async def test_a_health_check_requests_the_path_of_its_settings(how: str, path: str) -> None:
+    check_settings = {**settings(probes=True), "report": {"how": how, "fields": ["queue"]}}
+    async with running_gateway(settings=check_settings) as gateway:
         gateway.proxy.execute(StartHealthCheck(endpoint_id_of("h0")))
         received = await gateway.endpoint.requests.get()
         assert received.request_line == f"GET {path} HTTP/1.1"
--- a/tests/gateway/test_process_start.py
+++ b/tests/gateway/test_process_start.py
@@ -25,27 +25,27 @@
 from tests.gateway.process_helpers import run_process
 
 
-def without(key: str) -> dict[str, Any]:
-    raw = configuration({}, "127.0.0.1:1")
-    del raw[key]
-    return raw
+def configuration_without(key: str) -> dict[str, Any]:
+    document = configuration({}, "127.0.0.1:1")
+    del document[key]
+    return document
 
 
-def with_settings(**changed: Any) -> dict[str, Any]:
-    return configuration({}, "127.0.0.1:1", settings={**settings(), **changed})
+def configuration_with_settings(**overrides: Any) -> dict[str, Any]:
+    return configuration({}, "127.0.0.1:1", settings={**settings(), **overrides})
 
 
 DUPLICATE_TENANTS = [{"name": "t"}, {"name": "t"}]
 
 
-ADDRESS = "expected an address of the form host:port"
+EXPECTED_ADDRESS = "expected an address of the form host:port"
 
 
 INVALID_CONFIGURATIONS: list[tuple[object, str]] = [
-    (without("name"), "name: is missing; expected text"),
-    (without("listen"), f"listen: {ADDRESS}"),
-    (without("discovery"), f"discovery: {ADDRESS}"),
-    (without("settings"), "settings: is missing"),
+    (configuration_without("name"), "name: is missing; expected text"),
+    (configuration_without("listen"), f"listen: {EXPECTED_ADDRESS}"),
+    (configuration_without("discovery"), f"discovery: {EXPECTED_ADDRESS}"),
+    (configuration_without("settings"), "settings: is missing"),
     (configuration({}, "127.0.0.1:1", settings={"lanes": []}), "settings.lanes: expected at least one"),
     (configuration({}, "127.0.0.1:1", seed="none"), "seed: expected a number"),
     (
@@ -58,76 +58,87 @@
         configuration({}, "127.0.0.1:1", known={"endpoints": {}}),
         "known.endpoints: expected a list, got an obj",
     ),
-    (configuration({}, "127.0.0.1:1", peers=["here"]), f"peers[0]: {ADDRESS}, got 'here'"),
+    (configuration({}, "127.0.0.1:1", peers=["here"]), f"peers[0]: {EXPECTED_ADDRESS}, got 'here'"),
     (configuration({}, "127.0.0.1:1", peers=7), "peers: expected a list, got a whole number"),
-    (with_settings(zones=[7]), "settings.zones[0]: expected text, got a whole number"),
-    (with_settings(zones=7), "settings.zones: expected a list, got a whole number"),
-    (with_settings(lanes=[{"giveUpUs": 1}]), "settings.lanes[0].name: is missing; expected text"),
+    (configuration_with_settings(zones=[7]), "settings.zones[0]: expected text, got a whole number"),
+    (configuration_with_settings(zones=7), "settings.zones: expected a list, got a whole number"),
     (
-        with_settings(tenants=DUPLICATE_TENANTS),
+        configuration_with_settings(lanes=[{"giveUpUs": 1}]),
+        "settings.lanes[0].name: is missing; expected text",
+    ),
+    (
+        configuration_with_settings(tenants=DUPLICATE_TENANTS),
         "settings.tenants[1].name: expected a name of its own, got 't' as at [0]",
     ),
-    (with_settings(balancers=1, index=1), "settings.index: expected a number below balancers, 1, got 1"),
-    (with_settings(zone=2), "settings.zone: expected the place of one of 2 zones, from 0, got 2"),
+    (
+        configuration_with_settings(balancers=1, index=1),
+        "settings.index: expected a number below balancers, 1, got 1",
+    ),
+    (
+        configuration_with_settings(zone=2),
+        "settings.zone: expected the place of one of 2 zones, from 0, got 2",
+    ),
     ([], "expected an object, got a list"),
     ("", "not JSON: it ends in the middle at byte 1; expected an object"),
 ]
 
 
-@pytest.mark.parametrize(("raw", "named"), INVALID_CONFIGURATIONS)
-def test_an_invalid_configuration_is_one_line_and_a_failure(raw: object, named: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize(("document", "expected_error"), INVALID_CONFIGURATIONS)
+def test_an_invalid_configuration_prints_one_line_and_fails(
+    document: object, expected_error: str, tmp_path: Path
+) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(raw) if raw != "" else "{")
-    done = run_process(path)
-    assert done.returncode != 0
-    assert not done.stdout
-    (line,) = done.stderr.splitlines()
+    path.write_text(json.dumps(document) if document != "" else "{")
+    completed = run_process(path)
+    assert completed.returncode != 0
+    assert not completed.stdout
+    (line,) = completed.stderr.splitlines()
     assert line.startswith("load_balancer: ")
-    assert named in line
+    assert expected_error in line
 
 
-def test_a_large_configuration_is_in_memory_once_while_it_is_read(tmp_path: Path) -> None:
+def test_a_large_configuration_is_held_once_while_it_is_read(tmp_path: Path) -> None:
     """A second copy of the settings would take the most memory of the start."""
     tenants = [{"name": f"t{n}", "note": "x" * 2_000} for n in range(1_000)]
-    raw = with_settings(tenants=tenants)
+    document = configuration_with_settings(tenants=tenants)
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(raw))
+    path.write_text(json.dumps(document))
     tracemalloc.start()
     config = load_config({"ROUTER_CONFIG": str(path)})
-    most = tracemalloc.get_traced_memory()[1]
+    peak_bytes = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
-    assert most < 1.7 * path.stat().st_size
-    assert config.settings == parse_settings(json.dumps(raw["settings"]))
+    assert peak_bytes < 1.7 * path.stat().st_size
+    assert config.settings == parse_settings(json.dumps(document["settings"]))
     assert len(config.names.tenants) == 1_000
 
 
-def test_a_missing_configuration_is_one_line_and_a_failure(tmp_path: Path) -> None:
-    for done in (run_process(""), run_process(tmp_path / "none.json")):
-        assert done.returncode != 0
-        assert len(done.stderr.splitlines()) == 1
+def test_a_missing_configuration_prints_one_line_and_fails(tmp_path: Path) -> None:
+    for completed in (run_process(""), run_process(tmp_path / "none.json")):
+        assert completed.returncode != 0
+        assert len(completed.stderr.splitlines()) == 1
 
 
-async def test_no_collection_visits_the_endpoints_cached_at_the_start(
+async def test_endpoints_cached_at_the_start_are_exempt_from_garbage_collection(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Else every full collection would, while requests wait."""
-    path, listens = tmp_path / "config.json", asyncio.Event()
+    path, started = tmp_path / "config.json", asyncio.Event()
     path.write_text(json.dumps(configuration({"h0": "127.0.0.1:1"}, "127.0.0.1:1")))
 
     async def start(_: ClientServer) -> None:
-        listens.set()
+        started.set()
 
     monkeypatch.setattr(ClientServer, "start", start)
     serving = asyncio.create_task(serve(load_config({"ROUTER_CONFIG": str(path)})))
-    await listens.wait()
-    visited = [
-        known
-        for known in gc.get_objects()
-        if isinstance(known, DiscoveredEndpoint | upstream_pool.EndpointPool)
+    await started.wait()
+    tracked = [
+        tracked_object
+        for tracked_object in gc.get_objects()
+        if isinstance(tracked_object, DiscoveredEndpoint | upstream_pool.EndpointPool)
     ]
     gc.unfreeze()
     serving.cancel()
-    assert not visited
+    assert not tracked
 
 
 FAILING_START = """
@@ -146,11 +157,11 @@
 """
 
 
-def test_counted_repeats_come_before_the_line_on_a_failed_start(tmp_path: Path) -> None:
+def test_counted_repeats_are_written_before_the_error_of_a_failed_start(tmp_path: Path) -> None:
     """A poll that failed twice while the listener was opened was counted, and told after the last line."""
     path = tmp_path / "config.json"
     path.write_text(json.dumps(configuration({}, "127.0.0.1:1")))
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", FAILING_START],
         env={**os.environ, "ROUTER_CONFIG": str(path)},
         capture_output=True,
@@ -158,16 +169,16 @@
         timeout=60,
         check=False,
     )
-    *_, repeats, last = done.stderr.splitlines()
-    assert "repeated=1" in repeats
-    assert last == "load_balancer: cannot start: address in use"
-    assert done.returncode == 1
+    *_, repeats_line, last_line = completed.stderr.splitlines()
+    assert "repeated=1" in repeats_line
+    assert last_line == "load_balancer: cannot start: address in use"
+    assert completed.returncode == 1
 
 
-def test_an_address_in_use_is_one_line_and_a_failure(tmp_path: Path) -> None:
-    with socket.create_server(("127.0.0.1", 0)) as listening:
+def test_an_address_in_use_prints_one_line_and_fails(tmp_path: Path) -> None:
+    with socket.create_server(("127.0.0.1", 0)) as other_listener:
         path = tmp_path / "config.json"
         path.write_text(json.dumps(configuration({}, "127.0.0.1:1")))
-        done = run_process(path, ROUTER_LISTEN=f"127.0.0.1:{listening.getsockname()[1]}")
-    assert done.returncode == 1
-    assert "cannot start" in done.stderr.splitlines()[-1]
+        completed = run_process(path, ROUTER_LISTEN=f"127.0.0.1:{other_listener.getsockname()[1]}")
+    assert completed.returncode == 1
+    assert "cannot start" in completed.stderr.splitlines()[-1]
--- a/tests/gateway/test_reload.py
+++ b/tests/gateway/test_reload.py
@@ -19,21 +19,21 @@
 from tests.gateway.event_loop import wait_until
 from tests.gateway.http_client import HttpClient, encode_request
 from tests.gateway.reload_helpers import (
-    FIRST,
+    INITIAL_SETTINGS,
     TENANTS,
-    hold_reading,
-    logged,
-    reloadable,
-    with_classes,
+    logged_config_events,
+    pause_config_reads,
+    reloadable_gateway,
+    settings_with_classes,
 )
 from tests.gateway.stub_discovery import StubDiscovery, encode_chunk, endpoint_entry, watch_event
 
 
-async def test_a_change_is_in_force_for_the_next_request(tmp_path: Path) -> None:
-    async with reloadable(tmp_path) as instance:
+async def test_changed_settings_apply_to_the_next_request(tmp_path: Path) -> None:
+    async with reloadable_gateway(tmp_path) as instance:
         client = await instance.gateway.client()
         await instance.gateway.serve_request(client, encode_request(Tenant="acme"))
-        await instance.reload(with_classes("buy", "find", tenants=[{"name": "wayne"}]))
+        await instance.reload(settings_with_classes("buy", "find", tenants=[{"name": "wayne"}]))
         assert instance.settings_version == 2
         assert (await client.request(encode_request(Tenant="acme")))[0] == 404  # no such class any more
         assert (await client.request(encode_request("find", "GET", Tenant="acme")))[0] == 400
@@ -46,17 +46,17 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level(logging.INFO)
-    async with reloadable(tmp_path) as instance:
-        before = instance.gateway.client_server.lookup
+    async with reloadable_gateway(tmp_path) as instance:
+        lookup_before = instance.gateway.client_server.lookup
         await instance.reload()
         assert instance.settings_version == 1
-        assert instance.gateway.client_server.lookup is before
-        (one,) = logged(caplog)
-        assert (one["event"], one["settings_version"]) == ("config.unchanged", 1)
+        assert instance.gateway.client_server.lookup is lookup_before
+        (event,) = logged_config_events(caplog)
+        assert (event["event"], event["settings_version"]) == ("config.unchanged", 1)
 
 
-def with_lane(**changed: Any) -> dict[str, Any]:
-    return {**FIRST, "lanes": [{**request_class_settings("look", "free"), **changed}]}
+def settings_with_class(**overrides: Any) -> dict[str, Any]:
+    return {**INITIAL_SETTINGS, "lanes": [{**request_class_settings("look", "free"), **overrides}]}
 
 
 UNUSABLE_FILES: list[tuple[str, Callable[[str], str]]] = [
@@ -65,39 +65,42 @@
         "settings.lanes[0].windowUs: expected a finite number, got NaN",
         lambda text: text.replace("60000000", "NaN", 1),
     ),
-    ("settings.lanes[0].aimUs", lambda text: changed(text, with_lane(aimUs="x"))),
-    ("settings.lanes[0].giveUpUs", lambda text: changed(text, with_lane(giveUpUs=-1))),
-    ("settings.tenants[1].name", lambda text: changed(text, {**FIRST, "tenants": TENANTS[:1] * 2})),
-    ("settings.zones differs", lambda text: changed(text, {**FIRST, "zones": ["b", "a"]})),
+    ("settings.lanes[0].aimUs", lambda text: with_settings(text, settings_with_class(aimUs="x"))),
+    ("settings.lanes[0].giveUpUs", lambda text: with_settings(text, settings_with_class(giveUpUs=-1))),
+    (
+        "settings.tenants[1].name",
+        lambda text: with_settings(text, {**INITIAL_SETTINGS, "tenants": TENANTS[:1] * 2}),
+    ),
+    ("settings.zones differs", lambda text: with_settings(text, {**INITIAL_SETTINGS, "zones": ["b", "a"]})),
     ("limits.sockets differs", lambda text: text.replace("1024", "512")),
     ("too large", lambda text: text + " " * 2_000),
 ]
 
 
-def changed(text: str, settings: object) -> str:
+def with_settings(text: str, settings: object) -> str:
     return json.dumps({**json.loads(text), "settings": settings})
 
 
-@pytest.mark.parametrize(("named", "spoil"), UNUSABLE_FILES)
+@pytest.mark.parametrize(("expected_error", "corrupt"), UNUSABLE_FILES)
 async def test_an_unusable_file_is_logged_in_one_line_and_changes_nothing(
-    named: str,
-    spoil: Callable[[str], str],
+    expected_error: str,
+    corrupt: Callable[[str], str],
     tmp_path: Path,
     caplog: pytest.LogCaptureFixture,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     caplog.set_level(logging.INFO)
-    async with reloadable(tmp_path) as instance:
+    async with reloadable_gateway(tmp_path) as instance:
         monkeypatch.setattr(configs, "CONFIG_LIMIT", 2_000)
-        instance.path.write_text(spoil(instance.path.read_text()))
+        instance.path.write_text(corrupt(instance.path.read_text()))
         instance.reloader.request_reload()
         await instance.finish_reading()
         assert instance.settings_version == 1
-        (one,) = logged(caplog)
-        assert one["event"] == "config.rejected"
-        assert one["settings_version"] == 1
-        error = str(one["error"])
-        assert named in error
+        (event,) = logged_config_events(caplog)
+        assert event["event"] == "config.rejected"
+        assert event["settings_version"] == 1
+        error = str(event["error"])
+        assert expected_error in error
         assert len(error.splitlines()) == 1
         await instance.gateway.serve_request(
             await instance.gateway.client(), encode_request(Tenant="umbrella")
@@ -106,25 +109,25 @@
 
 async def test_a_request_in_flight_ends_under_its_own_settings_version(tmp_path: Path) -> None:
     """Its class has another index, its tenant is gone; an idempotent class has the index it had."""
-    async with reloadable(tmp_path) as instance:
-        client, other = await instance.gateway.client(), await instance.gateway.client()
-        client.send(encode_request("buy", "POST", Tenant="umbrella"))
-        received = await instance.gateway.endpoint.requests.get()
-        other.send(encode_request(Tenant="umbrella"))
-        served = await instance.gateway.endpoint.requests.get()
-        changed = with_classes("find", "pay", "look", "buy", tenants=[{"name": "acme"}])
-        changed["caps"]["maxAttempts"] = 4
-        await instance.reload(changed)
-        received.writer.transport.abort()  # it may have run, and must not run twice
-        assert (await client.read_response())[0] == 502
-        served.respond()
-        assert (await other.read_response())[0] == 200
-        assert (await client.request(encode_request("buy", "POST", Tenant="umbrella")))[0] == 400
+    async with reloadable_gateway(tmp_path) as instance:
+        buy_client, look_client = await instance.gateway.client(), await instance.gateway.client()
+        buy_client.send(encode_request("buy", "POST", Tenant="umbrella"))
+        buy_request = await instance.gateway.endpoint.requests.get()
+        look_client.send(encode_request(Tenant="umbrella"))
+        look_request = await instance.gateway.endpoint.requests.get()
+        new_settings = settings_with_classes("find", "pay", "look", "buy", tenants=[{"name": "acme"}])
+        new_settings["caps"]["maxAttempts"] = 4
+        await instance.reload(new_settings)
+        buy_request.writer.transport.abort()  # it may have run, and must not run twice
+        assert (await buy_client.read_response())[0] == 502
+        look_request.respond()
+        assert (await look_client.read_response())[0] == 200
+        assert (await buy_client.request(encode_request("buy", "POST", Tenant="umbrella")))[0] == 400
         assert instance.gateway.endpoint.requests.empty()
 
 
 async def test_a_request_in_flight_keeps_its_further_attempts(tmp_path: Path) -> None:
-    async with reloadable(tmp_path) as instance:
+    async with reloadable_gateway(tmp_path) as instance:
         await instance.reload({**settings(maxAttempts=2), "tenants": TENANTS})
         client = await instance.gateway.client()
         client.send(encode_request(Tenant="acme"))
@@ -136,7 +139,7 @@
 
 
 async def test_a_pipelined_request_is_read_by_the_settings_version_of_its_turn(tmp_path: Path) -> None:
-    async with reloadable(tmp_path) as instance:
+    async with reloadable_gateway(tmp_path) as instance:
         client = await instance.gateway.client()
         client.send(
             encode_request(Tenant="acme")
@@ -144,7 +147,7 @@
             + encode_request("find", "GET", Tenant="acme")
         )
         first = await instance.gateway.endpoint.requests.get()
-        await instance.reload(with_classes("find"))
+        await instance.reload(settings_with_classes("find"))
         first.respond()
         assert (await client.read_response())[0] == 200
         assert (await client.read_response())[0] == 404  # no `look` any more: answered, not lost
@@ -155,100 +158,103 @@
 async def test_requests_are_served_during_a_reading_and_the_last_content_is_applied(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with reloadable(tmp_path) as instance:
-        began, free = hold_reading(monkeypatch)
+    async with reloadable_gateway(tmp_path) as instance:
+        previous_configs, resume = pause_config_reads(monkeypatch)
         client = await instance.gateway.client()
-        instance.write(with_classes("look", "find"))
+        instance.write(settings_with_classes("look", "find"))
         instance.reloader.request_reload()
-        await wait_until(lambda: len(began) == 1)
+        await wait_until(lambda: len(previous_configs) == 1)
         await instance.gateway.serve_request(client, encode_request(Tenant="acme"))
-        for name in ("second", "third"):  # requested twice more: the second is never read
-            instance.write(with_classes("look", name))
+        for class_name in ("second", "third"):  # requested twice more: the second is never read
+            instance.write(settings_with_classes("look", class_name))
             instance.reloader.request_reload()
-        free.set()
+        resume.set()
         await instance.finish_reading()
-        assert len(began) == 2
+        assert len(previous_configs) == 2
         assert instance.settings_version == 3
         assert list(instance.gateway.client_server.lookup.classes) == [b"look", b"third"]
 
 
-@pytest.mark.parametrize("end", ["applied", "rejected", "closed"])
+@pytest.mark.parametrize("ending", ["applied", "rejected", "closed"])
 async def test_no_garbage_collection_runs_during_a_reading(
-    end: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    ending: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A full collection of what is being read would be one long step."""
-    async with reloadable(tmp_path) as instance:
-        began, free = hold_reading(monkeypatch)
-        instance.write({"lanes": 7} if end == "rejected" else with_classes("find"))
+    async with reloadable_gateway(tmp_path) as instance:
+        previous_configs, resume = pause_config_reads(monkeypatch)
+        instance.write({"lanes": 7} if ending == "rejected" else settings_with_classes("find"))
         instance.reloader.request_reload()
-        await wait_until(lambda: bool(began))
+        await wait_until(lambda: bool(previous_configs))
         assert not gc.isenabled()
-        if end == "closed":
+        if ending == "closed":
             instance.reloader.close()
-        free.set()
+        resume.set()
         await instance.finish_reading()
         assert gc.isenabled()
-        assert instance.settings_version == (2 if end == "applied" else 1)
+        assert instance.settings_version == (2 if ending == "applied" else 1)
 
 
-async def test_a_reading_under_way_at_shutdown_changes_nothing(
+async def test_a_reading_interrupted_by_shutdown_changes_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with reloadable(tmp_path) as instance:
-        began, _ = hold_reading(monkeypatch)
-        instance.write(with_classes("find"))
+    async with reloadable_gateway(tmp_path) as instance:
+        previous_configs, _ = pause_config_reads(monkeypatch)
+        instance.write(settings_with_classes("find"))
         instance.reloader.request_reload()
-        await wait_until(lambda: bool(began))
+        await wait_until(lambda: bool(previous_configs))
         instance.reloader.close()
         await instance.finish_reading()
         assert instance.settings_version == 1
 
 
 async def test_a_change_during_a_drain_is_applied_to_later_requests(tmp_path: Path) -> None:
-    async with reloadable(tmp_path) as instance:
-        client, late = await instance.gateway.client(), await instance.gateway.client()
+    async with reloadable_gateway(tmp_path) as instance:
+        client, later_client = await instance.gateway.client(), await instance.gateway.client()
         client.send(encode_request(Tenant="umbrella"))
         received = await instance.gateway.endpoint.requests.get()
         drain = asyncio.ensure_future(instance.gateway.client_server.drain())
         await wait_until(lambda: instance.gateway.client_server.draining)
-        await instance.reload(with_classes("look", tenants=[{"name": "acme"}]))
-        await instance.gateway.serve_request(late, encode_request(Tenant="acme"))
+        await instance.reload(settings_with_classes("look", tenants=[{"name": "acme"}]))
+        await instance.gateway.serve_request(later_client, encode_request(Tenant="acme"))
         received.respond()
         assert (await client.read_response())[0] == 200
         await drain
 
 
-@pytest.mark.parametrize("same", [False, True])
+@pytest.mark.parametrize("same_settings", [False, True])
 async def test_the_address_of_discovery_changes_with_the_settings_and_without(
-    same: bool, tmp_path: Path
+    same_settings: bool, tmp_path: Path
 ) -> None:
-    elsewhere = StubDiscovery()
-    await elsewhere.start()
-    async with reloadable(tmp_path) as instance:
-        _, old = await instance.gateway.discovery.watches.get()
-        await instance.reload(FIRST if same else with_classes("find"), discovery=elsewhere.address)
-        _, watch = await elsewhere.watches.get()
-        assert instance.settings_version == (1 if same else 2)
+    new_discovery = StubDiscovery()
+    await new_discovery.start()
+    async with reloadable_gateway(tmp_path) as instance:
+        _, old_watch = await instance.gateway.discovery.watches.get()
+        await instance.reload(
+            INITIAL_SETTINGS if same_settings else settings_with_classes("find"),
+            discovery=new_discovery.address,
+        )
+        _, watch = await new_discovery.watches.get()
+        assert instance.settings_version == (1 if same_settings else 2)
         watch.write(
             encode_chunk(watch_event(endpoint_entry("h9", instance.gateway.endpoint.address), index=9))
         )
         await wait_until(lambda: len(instance.gateway.proxy.upstream.endpoints) == 3)
-        old.close()
-        request_class = "look" if same else "find"
+        old_watch.close()
+        request_class = "look" if same_settings else "find"
         await instance.gateway.serve_request(
             await instance.gateway.client(), encode_request(request_class, "GET", Tenant="acme")
         )
-    elsewhere.stop()
+    new_discovery.stop()
 
 
-async def test_many_changes_leave_no_state_behind(tmp_path: Path) -> None:
+async def test_state_of_replaced_settings_is_dropped(tmp_path: Path) -> None:
     """With a request under each version: what only an earlier one had is dropped."""
-    async with reloadable(tmp_path) as instance:
+    async with reloadable_gateway(tmp_path) as instance:
         client = await instance.gateway.client()
-        for turn in range(60):
-            tenants = [{"name": "acme"}, {"name": f"t{turn}", "allowancePerS": 5.0}]
-            await instance.reload(with_classes(f"k{turn}", "look", tenants=tenants))
-            for request_class, tenant in ((f"k{turn}", f"t{turn}"), ("look", "acme")):
+        for index in range(60):
+            tenants = [{"name": "acme"}, {"name": f"t{index}", "allowancePerS": 5.0}]
+            await instance.reload(settings_with_classes(f"k{index}", "look", tenants=tenants))
+            for request_class, tenant in ((f"k{index}", f"t{index}"), ("look", "acme")):
                 await instance.gateway.serve_request(
                     client, encode_request(request_class, "GET", Tenant=tenant)
                 )
@@ -262,14 +268,18 @@
         assert classes[1].answers == 60
 
 
-async def test_the_memory_of_a_reading_is_returned(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_the_heap_is_trimmed_after_each_reading(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Also where the file could not be used."""
-    trims = list[int]()
-    monkeypatch.setattr(reload, "trim_heap", lambda: trims.append(1))
-    async with reloadable(tmp_path) as instance:
-        for count, change in enumerate((with_classes("find"), with_classes("find"), {"lanes": 7})):
-            await instance.reload(change)
-            assert len(trims) == count + 1
+    trim_calls = list[int]()
+    monkeypatch.setattr(reload, "trim_heap", lambda: trim_calls.append(1))
+    async with reloadable_gateway(tmp_path) as instance:
+        for count, new_settings in enumerate(
+            (settings_with_classes("find"), settings_with_classes("find"), {"lanes": 7})
+        ):
+            await instance.reload(new_settings)
+            assert len(trim_calls) == count + 1
         assert instance.settings_version == 2
     monkeypatch.undo()
     reload.trim_heap()
@@ -277,12 +287,12 @@
     reload.trim_heap()  # where the C library has no such call
 
 
-async def test_a_client_that_disconnects_after_the_change_is_noticed(tmp_path: Path) -> None:
-    async with reloadable(tmp_path) as instance:
+async def test_a_disconnect_after_a_settings_change_is_noticed(tmp_path: Path) -> None:
+    async with reloadable_gateway(tmp_path) as instance:
         client: HttpClient = await instance.gateway.client()
         client.send(encode_request(Tenant="umbrella"))
         await instance.gateway.endpoint.requests.get()
-        await instance.reload(with_classes("find", tenants=[]))
+        await instance.reload(settings_with_classes("find", tenants=[]))
         client.writer.close()
         await instance.gateway.wait_for_event(ClientDisconnected)
         await wait_until(lambda: not instance.gateway.proxy.ledger.pending)
--- a/tests/gateway/test_request_ledger.py
+++ b/tests/gateway/test_request_ledger.py
@@ -10,12 +10,12 @@
 from tests.gateway.configurations import settings
 from tests.gateway.event_loop import runs_in_event_loop
 from tests.gateway.http_client import encode_request
-from tests.gateway.running_gateway import hold_connects, running_gateway
+from tests.gateway.running_gateway import pause_endpoint_connects, running_gateway
 from tests.gateway.scripted_balancer import replace_decisions
 
 
 @runs_in_event_loop
-async def test_a_request_is_forwarded_and_its_response_comes_back_unchanged() -> None:
+async def test_a_request_and_its_response_are_forwarded_unchanged() -> None:
     async with running_gateway() as gateway:
         client = await gateway.client()
         client.send(encode_request("pay", body=b"\0\xffcard", X_Trace="t1", X_Hop="h", Connection="X-Hop"))
@@ -28,9 +28,9 @@
         assert not {"x-hop", "connection"} & received.headers.keys()
         assert 0 < int(received.headers["request-timeout-ms"]) <= 30_000
         received.respond(200, b"\1\xfepaid", Content_Type="application/x-slip")
-        status, head, body = await client.read_response()
+        status, headers, body = await client.read_response()
         assert (status, body) == (200, b"\1\xfepaid")
-        assert head["content-type"] == "application/x-slip"
+        assert headers["content-type"] == "application/x-slip"
         arrived = await gateway.wait_for_event(RequestArrived)
         assert (arrived.request_class, arrived.key) == (1, 0xFF)
 
@@ -47,30 +47,30 @@
 
 
 @runs_in_event_loop
-async def test_a_rejection_comes_at_once_with_retry_after() -> None:
+async def test_a_rejection_is_answered_with_503_and_retry_after() -> None:
     async with running_gateway() as gateway:
 
         def reject(event: Event) -> list[Action]:
             return [Reject(event.request_id, 1_250_000)] if isinstance(event, RequestArrived) else []
 
         replace_decisions(gateway, reject)
-        status, head, _ = await (await gateway.client()).request(encode_request())
+        status, headers, _ = await (await gateway.client()).request(encode_request())
         assert status == 503
-        assert float(head["retry-after"]) == 1.25
+        assert float(headers["retry-after"]) == 1.25
 
 
 @runs_in_event_loop
-async def test_an_exception_in_a_decision_fails_its_request_alone(caplog: pytest.LogCaptureFixture) -> None:
+async def test_an_exception_in_a_decision_fails_only_its_request(caplog: pytest.LogCaptureFixture) -> None:
     async with running_gateway() as gateway:
         handle = gateway.proxy.balancer.handle
 
-        def broken(now_us: int, event: Event) -> list[Action]:
+        def handle_with_fault(now_us: int, event: Event) -> list[Action]:
             if isinstance(event, RequestArrived):
                 raise RuntimeError("a fault")
             return handle(now_us, event)
 
         client = await gateway.client()
-        gateway.proxy.balancer.handle = broken  # type: ignore[method-assign]
+        gateway.proxy.balancer.handle = handle_with_fault  # type: ignore[method-assign]
         assert (await client.request(encode_request()))[0] == 500
         assert "a fault" in caplog.text
         assert not gateway.proxy.ledger.pending
@@ -97,14 +97,14 @@
 ) -> None:
     """The last resort answers it; its connection is up only after that."""
     async with running_gateway(settings=settings(mayCancel=may_cancel)) as gateway:
-        free = hold_connects(gateway, monkeypatch)
+        resume_connects = pause_endpoint_connects(gateway, monkeypatch)
         client = await gateway.client()
         client.send(encode_request("buy"))
         await gateway.wait_for_event(RequestArrived)
         (request,) = gateway.proxy.ledger.pending.values()
         gateway.proxy.ledger.answer_at_last_resort(request)
         assert (await client.read_response())[0] == 504
-        free.set()
+        resume_connects.set()
         assert (await gateway.wait_for_event(AttemptEnded)).finished
         await gateway.serve_request(client, encode_request(Request_Id="next"))
         assert gateway.endpoint.requests.empty()
@@ -112,7 +112,7 @@
 
 
 @runs_in_event_loop
-async def test_a_time_out_that_comes_due_with_the_last_resort_is_answered_by_the_balancer() -> None:
+async def test_the_balancer_answers_a_time_out_that_is_due_with_the_last_resort() -> None:
     """Its outcome is reported in the loop's next turn, before the last resort answers."""
     async with running_gateway() as gateway:
         client = await gateway.client()
--- a/tests/gateway/test_request_parsing.py
+++ b/tests/gateway/test_request_parsing.py
@@ -41,12 +41,12 @@
         assert (await client.read_response())[0] == status
         if status in (413, 431):  # the framing is lost
             assert await client.is_closed()
-        good = await gateway.client()
-        good.send(encode_request(Request_Id="ffff"))
+        valid_client = await gateway.client()
+        valid_client.send(encode_request(Request_Id="ffff"))
         received = await gateway.endpoint.requests.get()
         assert received.headers["request-id"] == "ffff"
         received.respond()
-        assert (await good.read_response())[0] == 200
+        assert (await valid_client.read_response())[0] == 200
 
 
 @runs_in_event_loop
@@ -65,16 +65,16 @@
     tenants = [{"name": "acme"}, {"name": "zeta"}]
     async with running_gateway(settings={**settings(), "tenants": tenants}) as gateway:
         client = await gateway.client()
-        marked = encode_request(
+        first_request = encode_request(
             "buy", Tenant="zeta", Work_Hint="1200", Client_Retry="1", Request_Info="isWrite=1"
         )
-        await gateway.serve_request(client, marked)
+        await gateway.serve_request(client, first_request)
         first = await gateway.wait_for_event(RequestArrived)
         assert (first.tenant, first.work_us, first.is_retry, first.is_write) == (1, 1200, True, True)
         assert (await client.request(encode_request()))[0] == 400  # without its tenant
         await gateway.serve_request(client, encode_request("look", Tenant="acme"))
-        then = await gateway.wait_for_event(RequestArrived)
-        assert (then.request_class, then.tenant, then.work_us, then.is_retry, then.is_write) == (
+        second = await gateway.wait_for_event(RequestArrived)
+        assert (second.request_class, second.tenant, second.work_us, second.is_retry, second.is_write) == (
             0,
             0,
             None,
--- a/tests/gateway/test_simultaneous_ends.py
+++ b/tests/gateway/test_simultaneous_ends.py
@@ -19,44 +19,44 @@
 from tests.gateway.scripted_balancer import script_decisions, time_out
 from tests.gateway.stub_server import send_now
 
-ENDINGS = ["cancelled", "timed out", "malformed"]
+END_CAUSES = ["cancelled", "timed out", "malformed"]
 
 
-@pytest.mark.parametrize("ending", ENDINGS)
+@pytest.mark.parametrize("cause", END_CAUSES)
 @runs_in_event_loop
-async def test_no_attempt_is_written_while_the_connection_of_the_one_before_is_open(
-    ending: str, monkeypatch: pytest.MonkeyPatch
+async def test_no_attempt_is_written_while_the_connection_of_the_previous_one_is_open(
+    cause: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Else two copies of the request would be in flight for an instant."""
-    async with running_gateway(endpoints=2, settings=settings(maxAttempts=2)) as gateway:
+    async with running_gateway(endpoint_count=2, settings=settings(maxAttempts=2)) as gateway:
         script_decisions(gateway, ["h0", "h1", "h0"], "h1")
         client = await gateway.client()
         for _ in range(2):  # one idle connection to each, so that the second attempt has not to wait
             await gateway.serve_request(client)
-        write, open_before = UpstreamConnection.write, []
+        write, earlier_connections_open = UpstreamConnection.write, []
         descriptors: list[int] = []
 
-        def noting(connection: UpstreamConnection, attempt: Any) -> None:
+        def check_and_write(connection: UpstreamConnection, attempt: Any) -> None:
             assert connection.transport is not None
-            open_before.append([is_open(fd) for fd in descriptors])
+            earlier_connections_open.append([is_open(descriptor) for descriptor in descriptors])
             descriptors.append(connection.transport.get_extra_info("socket").fileno())
             write(connection, attempt)
 
-        monkeypatch.setattr(UpstreamConnection, "write", noting)
+        monkeypatch.setattr(UpstreamConnection, "write", check_and_write)
         client.send(encode_request())
         received = await gateway.endpoint.requests.get()
         (request,) = gateway.proxy.ledger.pending.values()
         (attempt,) = request.attempts
         assert attempt is not None
-        if ending == "cancelled":
+        if cause == "cancelled":
             gateway.proxy.execute(Cancel(request.id, 0))
-        elif ending == "timed out":
+        elif cause == "timed out":
             attempt.abandon(Outcome.TIMEOUT)
         else:
             received.respond_raw(b"no HTTP at all\r\n\r\n")
         (await gateway.endpoint.requests.get()).respond()
         assert (await client.read_response())[0] == 200
-        assert open_before == [[], [False]]
+        assert earlier_connections_open == [[], [False]]
 
 
 def is_open(descriptor: int) -> bool:
@@ -71,7 +71,7 @@
     gateway.proxy.ledger.client_disconnected(request)
 
 
-def expire(request: PendingRequest, _it: RunningGateway) -> None:
+def expire(request: PendingRequest, _gateway: RunningGateway) -> None:
     time_out(request)
 
 
@@ -79,19 +79,21 @@
     gateway.proxy.execute(Cancel(request.id, len(request.attempts) - 1))
 
 
-End = Callable[[PendingRequest, RunningGateway], None]
-ENDS: dict[End, Outcome] = {
+EndFunction = Callable[[PendingRequest, RunningGateway], None]
+OUTCOMES: dict[EndFunction, Outcome] = {
     disconnect: Outcome.CANCELLED,  # by the balancer, at once
     expire: Outcome.TIMEOUT,
     cancel: Outcome.CANCELLED,
 }
 
 
-@pytest.mark.parametrize("answered", ["not", "unread", "read"])
-@pytest.mark.parametrize("second", ENDS)
-@pytest.mark.parametrize("first", ENDS)
+@pytest.mark.parametrize("response_state", ["not", "unread", "read"])
+@pytest.mark.parametrize("second", OUTCOMES)
+@pytest.mark.parametrize("first", OUTCOMES)
 @runs_in_event_loop
-async def test_the_first_of_simultaneous_ends_counts_once(first: End, second: End, answered: str) -> None:
+async def test_the_first_of_simultaneous_ends_counts_once(
+    first: EndFunction, second: EndFunction, response_state: str
+) -> None:
     """A response, a time-out, a cancel and a disconnect, in each order and in one turn of the loop."""
     async with running_gateway(settings=settings(maxAttempts=2)) as gateway:
         script_decisions(gateway, ["h0", "h0"], "h0")
@@ -101,20 +103,20 @@
         (request,) = gateway.proxy.ledger.pending.values()
         (attempt,) = request.attempts
         assert attempt is not None
-        if answered != "not":
+        if response_state != "not":
             send_now(received.writer, b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-        if answered == "read":
+        if response_state == "read":
             await wait_until(lambda: attempt.done)
         first(request, gateway)
         second(request, gateway)
         ended = await gateway.wait_for_event(AttemptEnded)
-        if answered == "read":
+        if response_state == "read":
             assert ended.outcome is Outcome.OK
             assert (await client.read_response())[0] == 200
         else:
-            assert ended.outcome is ENDS[first]
+            assert ended.outcome is OUTCOMES[first]
             await gateway.endpoint.closed_connections.get()
-        if answered != "read" and disconnect not in (first, second):
+        if response_state != "read" and disconnect not in (first, second):
             (await gateway.endpoint.requests.get()).respond()
             assert (await client.read_response())[0] == 200
         await gateway.serve_request(await gateway.client(), encode_request(Request_Id="next"))
--- a/tests/gateway/test_upstream_pool.py
+++ b/tests/gateway/test_upstream_pool.py
@@ -15,7 +15,7 @@
 from tests.gateway.configurations import settings
 from tests.gateway.event_loop import runs_in_event_loop, wait_until
 from tests.gateway.http_client import encode_request
-from tests.gateway.running_gateway import RunningGateway, hold_connects, running_gateway
+from tests.gateway.running_gateway import RunningGateway, pause_endpoint_connects, running_gateway
 from tests.gateway.stub_discovery import encode_chunk, endpoint_entry, watch_event
 
 
@@ -54,7 +54,7 @@
 
 
 @runs_in_event_loop
-async def test_idle_connections_to_endpoints_are_closed_before_the_endpoint_does(
+async def test_idle_connections_are_closed_before_the_endpoint_closes_them(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with running_gateway() as gateway:
@@ -77,7 +77,7 @@
 
 
 @runs_in_event_loop
-async def test_a_late_second_response_is_not_taken_for_that_to_the_next_request() -> None:
+async def test_a_late_second_response_does_not_answer_the_next_request() -> None:
     """A connection is not used again at once: what comes milliseconds late would answer another request."""
     async with running_gateway(reuse_delay_s=upstream_pool.REUSE_DELAY_S) as gateway:
         clock = stop_clock(gateway)
@@ -101,27 +101,27 @@
         assert (await client.read_response())[0] == 200
 
 
-@pytest.mark.parametrize("late", [b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", b""])
+@pytest.mark.parametrize("unread_input", [b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", b""])
 @runs_in_event_loop
-async def test_an_idle_connection_with_unread_input_is_not_reused(late: bytes) -> None:
+async def test_an_idle_connection_with_unread_input_is_not_reused(unread_input: bytes) -> None:
     """The loop has yet to read a second response, or the endpoint's close, as the next request is written."""
     async with running_gateway() as gateway:
         client = await gateway.client()
         await gateway.serve_request(client)
         (idle,) = gateway.proxy.upstream.connections
         (writer,) = gateway.endpoint.writers
-        ended: list[Response | None] = []
+        responses: list[Response | None] = []
         # All in one turn of the loop, which reads nothing in between.
-        with socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno())) as raw:
-            raw.send(late) if late else raw.shutdown(socket.SHUT_RDWR)
+        with socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno())) as duplicate:
+            duplicate.send(unread_input) if unread_input else duplicate.shutdown(socket.SHUT_RDWR)
         gateway.proxy.upstream.send(
-            endpoint_id_of("h0"), encode_request(), 20.0, lambda _, answer: ended.append(answer)
+            endpoint_id_of("h0"), encode_request(), 20.0, lambda _, response: responses.append(response)
         )
         assert idle not in gateway.proxy.upstream.connections
         (await gateway.endpoint.requests.get()).respond(body=b"its own")
-        await wait_until(lambda: bool(ended))
-        assert ended[0] is not None
-        assert ended[0].body == b"its own"
+        await wait_until(lambda: bool(responses))
+        assert responses[0] is not None
+        assert responses[0].body == b"its own"
 
 
 @runs_in_event_loop
@@ -142,13 +142,13 @@
 ) -> None:
     async with running_gateway() as gateway:
         _, watch = await gateway.discovery.watches.get()
-        free = hold_connects(gateway, monkeypatch)
+        resume_connects = pause_endpoint_connects(gateway, monkeypatch)
         client = await gateway.client()
         client.send(encode_request("buy"))
         await gateway.wait_for_event(RequestArrived)
         watch.write(encode_chunk(watch_event(endpoint_entry("h0", gateway.endpoint.address, "leaving"))))
         await gateway.wait_for_event(EndpointListReceived, lambda e: e.kind is ListKind.DELTA)
-        free.set()
+        resume_connects.set()
         assert (await gateway.wait_for_event(AttemptEnded)).outcome is Outcome.CONNECT_FAILED
         assert (await client.read_response())[0] == 503
         assert gateway.endpoint.requests.empty()
@@ -156,15 +156,15 @@
 
 @pytest.mark.parametrize("change", ["leaving", "left", "unlisted", "moved"])
 @runs_in_event_loop
-async def test_an_attempt_that_waits_for_a_connection_ends_as_its_endpoint_drains(
+async def test_an_attempt_that_waits_for_a_connection_fails_when_its_endpoint_drains(
     change: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It is not written if the connection comes up later, and does not wait for that to fail."""
-    changed = settings(connectTimeoutUs=120_000_000)
-    changed["contract"] = {"mustAskInUs": 100_000, "stopSendingWithinUs": 60_000_000}
-    async with running_gateway(settings=changed) as gateway:
+    changed_settings = settings(connectTimeoutUs=120_000_000)
+    changed_settings["contract"] = {"mustAskInUs": 100_000, "stopSendingWithinUs": 60_000_000}
+    async with running_gateway(settings=changed_settings) as gateway:
         _, watch = await gateway.discovery.watches.get()
-        free = hold_connects(gateway, monkeypatch)
+        resume_connects = pause_endpoint_connects(gateway, monkeypatch)
         client = await gateway.client()
         client.send(encode_request("buy"))
         await gateway.wait_for_event(RequestArrived)
@@ -178,7 +178,7 @@
             watch.write(encode_chunk(watch_event(endpoint_entry("h0", gateway.endpoint.address, change))))
         assert (await gateway.wait_for_event(AttemptEnded)).outcome is Outcome.CONNECT_FAILED
         assert (await client.read_response())[0] == 503
-        free.set()
+        resume_connects.set()
         watch.write(
             encode_chunk(
                 watch_event(
@@ -193,7 +193,7 @@
 
 
 @runs_in_event_loop
-async def test_the_response_of_an_endpoint_that_drains_meanwhile_still_counts() -> None:
+async def test_the_response_of_an_endpoint_that_begins_to_drain_is_used() -> None:
     async with running_gateway() as gateway:
         _, watch = await gateway.discovery.watches.get()
         client = await gateway.client()
