--- a/tests/gateway/test_request_ledger.py
+++ b/tests/gateway/test_request_ledger.py
@@ -112,7 +112,7 @@
 
 
 @runs_in_event_loop
-async def test_the_balancer_answers_a_time_out_that_is_due_with_the_last_resort() -> None:
+async def test_the_balancer_answers_a_time_out_that_is_due_with_the_deadline_timer() -> None:
     """Its outcome is reported in the loop's next turn, before the last resort answers."""
     async with running_gateway() as gateway:
         client = await gateway.client()
