--- a/tests/decision_transcripts.py
+++ b/tests/decision_transcripts.py
@@ -28,24 +28,24 @@
 from load_balancer.decisions.events import EndpointListReceived, SettingsChanged
 from load_balancer.decisions.settings_version import initial_version, next_version
 from load_balancer.simulator.codec import PARSERS, format_action, parse_settings, split_line
-from load_balancer.simulator.codec import parse_endpoint as parse_server
+from load_balancer.simulator.codec import parse_endpoint as parse_list_entry
 from load_balancer.simulator.vocabulary import LIST_KINDS
 from tests.transcript_simulation.days import DAYS
 from tests.transcript_simulation.simulation import Simulation
-from tests.transcript_simulation.wire import LOG, MARK
+from tests.transcript_simulation.wire import ACTION_PREFIX, LOG_PREFIX
 
 DECISION_FILES = tuple(
     str(path)
     for path in sorted(Path(str(decisions.__file__)).parent.glob("*.py"))
     if path.stem not in ("__init__", "actions", "endpoint", "events", "settings")
 )
-LIMIT_CONSTANT = (
+CHANGED_CONSTANT = (
     concurrency_limit,
     "LIMIT_DECREASE_STEPS",
 )  # of the load shedding: changing it a little must be noticed
 
 
-class Subject:
+class WireBalancer:
     """The balancer under test, spoken to in wire lines only."""
 
     def __init__(self, launch: str) -> None:
@@ -55,7 +55,7 @@
         self.balancer = Balancer(settings, int(fields["prng"]))
         self.version = initial_version(settings)
 
-    def take(self, now_us: int, lines: list[str]) -> list[str]:
+    def handle_lines(self, now_us: int, lines: list[str]) -> list[str]:
         """Take one event, of several lines where it carries a table; returns all actions, log lines too."""
         name, fields = split_line(lines[-1]) if not lines[-1].startswith("settings ") else ("settings", {})
         event: Any
@@ -64,14 +64,14 @@
             self.version = run_to_completion(next_version(self.version, settings))
             event = SettingsChanged(self.version)
         elif name == "registry":
-            entries = (parse_server(split_line(line)[1]) for line in lines[1:-1])
+            entries = (parse_list_entry(split_line(line)[1]) for line in lines[1:-1])
             event = EndpointListReceived(LIST_KINDS[fields["how"]], tuple(entries))
         else:
             event = PARSERS[name](fields)
         return [format_action(action) for action in self.balancer.handle(now_us, event)]
 
 
-FOLDER = Path(__file__).parent / "transcripts"
+TRANSCRIPT_DIRECTORY = Path(__file__).parent / "transcripts"
 
 
 class MismatchError(AssertionError):
@@ -85,7 +85,7 @@
     """Each event: the number of its batch, the clock, its lines, and the actions recorded after it."""
     batch, now_us, event = 0, 0, list[str]()
     for number, line in enumerate(lines):
-        if line.startswith(MARK):
+        if line.startswith(ACTION_PREFIX):
             continue
         if line.startswith("begin_batch "):
             batch, now_us = batch + 1, int(line.rpartition("=")[2])
@@ -93,35 +93,40 @@
         event.append(line)
         if line.startswith(("inventory ", "host ")):
             continue
-        after = number + 1
-        while after < len(lines) and lines[after].startswith(MARK):
-            after += 1
-        yield batch, now_us, event, [line.removeprefix(MARK) for line in lines[number + 1 : after]]
+        next_number = number + 1
+        while next_number < len(lines) and lines[next_number].startswith(ACTION_PREFIX):
+            next_number += 1
+        yield (
+            batch,
+            now_us,
+            event,
+            [line.removeprefix(ACTION_PREFIX) for line in lines[number + 1 : next_number]],
+        )
         event = []
 
 
 def replay(lines: list[str]) -> list[str]:
     """Feed a transcript's events to a new balancer; raises MismatchError at once, returns the log lines."""
-    subject = Subject(lines[0])
-    logged: list[str] = []
+    balancer = WireBalancer(lines[0])
+    log_lines: list[str] = []
     for batch, now_us, event, expected in read_events(lines[1:]):
-        actions = subject.take(now_us, event)
-        logged += [line for line in actions if line.startswith(LOG)]
-        found = [line for line in actions if not line.startswith(LOG)]
-        if found != expected:
-            where = f"batch {batch} at {now_us} us, after '{event[-1]}'"
-            raise MismatchError(f"{where}: recorded {expected}, decided {found}")
-    return logged
+        actions = balancer.handle_lines(now_us, event)
+        log_lines += [line for line in actions if line.startswith(LOG_PREFIX)]
+        actual = [line for line in actions if not line.startswith(LOG_PREFIX)]
+        if actual != expected:
+            place = f"batch {batch} at {now_us} us, after '{event[-1]}'"
+            raise MismatchError(f"{place}: recorded {expected}, decided {actual}")
+    return log_lines
 
 
-def load(path: Path) -> list[str]:
+def load_transcript(path: Path) -> list[str]:
     """The lines of a recorded transcript."""
     return gzip.decompress(path.read_bytes()).decode().splitlines()
 
 
-def recorded() -> list[Path]:
+def transcript_paths() -> list[Path]:
     """The recorded transcripts, by name."""
-    return sorted(FOLDER.glob("*.txt.gz"))
+    return sorted(TRANSCRIPT_DIRECTORY.glob("*.txt.gz"))
 
 
 # The command
@@ -129,51 +134,53 @@
 
 def record() -> None:
     """Write all transcripts anew."""
-    FOLDER.mkdir(exist_ok=True)
+    TRANSCRIPT_DIRECTORY.mkdir(exist_ok=True)
     for day in DAYS:
-        text = "\n".join(Simulation(day, Subject).run()) + "\n"
+        text = "\n".join(Simulation(day, WireBalancer).run()) + "\n"
         data = gzip.compress(text.encode(), compresslevel=9, mtime=0)
-        (FOLDER / f"{day.name}.txt.gz").write_bytes(data)
+        (TRANSCRIPT_DIRECTORY / f"{day.name}.txt.gz").write_bytes(data)
         print(f"{day.name}: {text.count(chr(10))} lines, {len(data)} bytes")
 
 
 def check() -> None:
     """Replay all transcripts; MismatchError names the first batch that differs."""
-    for path in recorded():
-        replay(load(path))
+    for path in transcript_paths():
+        replay(load_transcript(path))
         print(f"{path.name}: all actions as recorded")
 
 
 def code_lines(path: str) -> set[int]:
     """Numbers of the lines of a module's functions that may run."""
-    found: set[int] = set()
+    line_numbers: set[int] = set()
     pending = [compile(Path(path).read_text(), path, "exec")]
     while pending:
         code = pending.pop()
         pending += [constant for constant in code.co_consts if hasattr(constant, "co_code")]
         if "__module__" not in code.co_names and code.co_name != "<module>":  # neither class nor module body
-            found |= {number for _, _, number in code.co_lines() if number and number != code.co_firstlineno}
-    return found
+            line_numbers |= {
+                number for _, _, number in code.co_lines() if number and number != code.co_firstlineno
+            }
+    return line_numbers
 
 
 def coverage() -> None:
     """Print the share of the decision modules' lines that the replay runs, and those it does not."""
-    files = {name: set[int]() for name in DECISION_FILES}
+    run_lines = {name: set[int]() for name in DECISION_FILES}
 
     def trace(frame: FrameType, kind: str, _: object) -> Any:
-        lines = files.get(frame.f_code.co_filename)
+        lines = run_lines.get(frame.f_code.co_filename)
         if lines is not None and kind == "line":
             lines.add(frame.f_lineno)
         return trace if lines is not None else None
 
     sys.settrace(trace)
-    for path in recorded():
-        replay(load(path))
+    for path in transcript_paths():
+        replay(load_transcript(path))
     sys.settrace(None)
-    for name, lines in files.items():
-        wanted = code_lines(name)
-        share = len(wanted & lines) / len(wanted)
-        print(f"{Path(name).name}: {share:.1%} of {len(wanted)} lines, not run: {sorted(wanted - lines)}")
+    for name, lines in run_lines.items():
+        runnable = code_lines(name)
+        share = len(runnable & lines) / len(runnable)
+        print(f"{Path(name).name}: {share:.1%} of {len(runnable)} lines, not run: {sorted(runnable - lines)}")
 
 
 if __name__ == "__main__":
--- a/tests/decisions/conftest.py
+++ b/tests/decisions/conftest.py
@@ -15,7 +15,7 @@
 
 
 @pytest.fixture
-def all_half_open() -> Driver:
+def driver_after_cooldown() -> Driver:
     """A balancer whose three endpoints are due for trials."""
     driver = Driver(endpoints=3)
     for endpoint in driver.endpoints.values():
--- a/tests/decisions/dense_balancer.py
+++ b/tests/decisions/dense_balancer.py
@@ -40,8 +40,8 @@
     def failure_share(self, key: int, excluded: CircuitBreaker | None) -> float:
         others = [s.breakers[key] for s in self.endpoints.by_id.values() if s.breakers[key] is not excluded]
         closed = [b for b in others if b.state is BreakerState.CLOSED]
-        entries = sum(len(b.ring) for b in closed)
-        return sum(b.failures for b in closed) / entries if entries else 0.0
+        outcome_count = sum(len(b.ring) for b in closed)
+        return sum(b.failures for b in closed) / outcome_count if outcome_count else 0.0
 
 
 class DenseEndpointList(EndpointList):
@@ -54,19 +54,19 @@
     def cooldown_left_us(self, key: int, now_us: int) -> int:
         cooldowns = []
         for endpoint in self.by_id.values():
-            opened = [
+            ends_us = [
                 b.open_until_us for b in breakers_for(endpoint, key) if b and b.state is BreakerState.OPEN
             ]
-            cooldowns.append(max(opened, default=now_us) - now_us)
+            cooldowns.append(max(ends_us, default=now_us) - now_us)
         return min(cooldowns, default=0)
 
     def add(
         self, endpoint: Endpoint, now_us: int, max_initial_work_us: float, settings: Settings
     ) -> EndpointState:
-        others = [s.weight for s in self.by_id.values() if s.endpoint.id != endpoint.id]
+        other_weights = [s.weight for s in self.by_id.values() if s.endpoint.id != endpoint.id]
         state = super().add(endpoint, now_us, max_initial_work_us, settings)
-        if others:
-            assert state.weight == pytest.approx(sum(others) / len(others), rel=1e-12)
+        if other_weights:
+            assert state.weight == pytest.approx(sum(other_weights) / len(other_weights), rel=1e-12)
         return state
 
     def update_ranks(self, removed: list[EndpointState], added: list[EndpointState]) -> None:
@@ -95,11 +95,11 @@
         if not settings.tenants:
             return False
         quota = settings.tenants[tenant_index].quota_per_s / settings.gateways
-        left, at_us = self.buckets.get(tenant_index, (quota * QUOTA_BURST_S, 0))
-        left = min(quota * QUOTA_BURST_S, left + quota * (now_us - at_us) / 1e6)
-        over = quota > 0.0 and left < 1.0
-        self.buckets[tenant_index] = (left - (first_try and not over), now_us)
-        return over
+        tokens, updated_us = self.buckets.get(tenant_index, (quota * QUOTA_BURST_S, 0))
+        tokens = min(quota * QUOTA_BURST_S, tokens + quota * (now_us - updated_us) / 1e6)
+        is_over_quota = quota > 0.0 and tokens < 1.0
+        self.buckets[tenant_index] = (tokens - (first_try and not is_over_quota), now_us)
+        return is_over_quota
 
 
 class DenseDemand(Demand):
@@ -107,16 +107,16 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.asked, self.beyond = list[float](), list[float]()
+        self.dense_within_quota, self.dense_over_quota = list[float](), list[float]()
 
     def note_first_try(self, class_id: int, over_quota: bool) -> None:
-        (self.beyond if over_quota else self.asked)[class_id] += 1
-        if sum(self.asked) + sum(self.beyond) > DEMAND_MEMORY_REQUESTS:
-            self.asked = [n / 2 for n in self.asked]
-            self.beyond = [n / 2 for n in self.beyond]
-            for index in range(len(self.asked)):
-                if self.asked[index] + self.beyond[index] < FORGOTTEN_REQUESTS:
-                    self.asked[index] = self.beyond[index] = 0.0
+        (self.dense_over_quota if over_quota else self.dense_within_quota)[class_id] += 1
+        if sum(self.dense_within_quota) + sum(self.dense_over_quota) > DEMAND_MEMORY_REQUESTS:
+            self.dense_within_quota = [n / 2 for n in self.dense_within_quota]
+            self.dense_over_quota = [n / 2 for n in self.dense_over_quota]
+            for index in range(len(self.dense_within_quota)):
+                if self.dense_within_quota[index] + self.dense_over_quota[index] < FORGOTTEN_REQUESTS:
+                    self.dense_within_quota[index] = self.dense_over_quota[index] = 0.0
         super().note_first_try(class_id, over_quota)
 
 
@@ -126,24 +126,29 @@
     def sort_demand(self) -> None:
         demand, settings, classes = self._demand, self._context.settings, self._context.classes
         assert isinstance(demand, DenseDemand)
-        served = [demand.served.get(i, 0.0) for i in range(len(demand.asked))]
-        for counts, dense in ((demand.within_quota, demand.asked), (demand.over_quota, demand.beyond)):
-            assert [counts.get(i, 0.0) for i in range(len(dense))] == dense
-        total = sum(demand.asked) or 1.0
-        weighted = (c.priority_weight * a for c, a in zip(settings.classes, demand.asked, strict=True))
+        served = [demand.served.get(i, 0.0) for i in range(len(demand.dense_within_quota))]
+        for counts, dense_counts in (
+            (demand.within_quota, demand.dense_within_quota),
+            (demand.over_quota, demand.dense_over_quota),
+        ):
+            assert [counts.get(i, 0.0) for i in range(len(dense_counts))] == dense_counts
+        total = sum(demand.dense_within_quota) or 1.0
+        weighted = (
+            c.priority_weight * a for c, a in zip(settings.classes, demand.dense_within_quota, strict=True)
+        )
         self.mean_priority_weight = sum(weighted) / total or 1.0
-        shares = (s / a if a else 1.0 for s, a in zip(served, demand.asked, strict=True))
+        shares = (s / a if a else 1.0 for s, a in zip(served, demand.dense_within_quota, strict=True))
         self.worst_served_share = min(shares)
-        graded = [
+        work_by_priority = [
             (self.priority(classes[index], over), counts[index] * classes[index].unloaded_us)
-            for over, counts in ((False, demand.asked), (True, demand.beyond))
+            for over, counts in ((False, demand.dense_within_quota), (True, demand.dense_over_quota))
             for index in range(len(classes))
         ]
-        self.order = PriorityOrder(demand.changes, graded)
+        self.order = PriorityOrder(demand.changes, work_by_priority)
         self.order.parts = len(demand.within_quota) + len(demand.over_quota)
 
 
-DENSE_PARTS = {
+DENSE_CLASSES = {
     "BreakerRegistry": DenseRegistry,
     "EndpointList": DenseEndpointList,
     "Dispatcher": DenseDispatcher,
@@ -158,14 +163,14 @@
 
     def __init__(self, settings: Settings, seed: int) -> None:
         with pytest.MonkeyPatch.context() as patch:
-            for name, part in DENSE_PARTS.items():
-                patch.setattr(balancer_module, name, part)
+            for name, dense_class in DENSE_CLASSES.items():
+                patch.setattr(balancer_module, name, dense_class)
             super().__init__(settings, seed)
         assert isinstance(self.breakers, DenseRegistry)
         assert isinstance(self.demand, DenseDemand)
         self.breakers.endpoints = self.endpoints
         count = len(settings.classes)
-        self.demand.asked, self.demand.beyond = [0.0] * count, [0.0] * count
+        self.demand.dense_within_quota, self.demand.dense_over_quota = [0.0] * count, [0.0] * count
         tenants = range(max(1, len(settings.tenants)))
         self.keys = (
             0,
@@ -178,8 +183,8 @@
         for endpoint in self.endpoints.by_id.values():
             for key in self.keys:
                 breaker = endpoint.breakers[key]
-                lapsed = now_us - breaker.last_outcome_us > BREAKER_EXPIRY_US
-                if breaker.state is BreakerState.CLOSED and lapsed:
+                has_expired = now_us - breaker.last_outcome_us > BREAKER_EXPIRY_US
+                if breaker.state is BreakerState.CLOSED and has_expired:
                     self.breakers.remove(breaker)
                     breaker.ring, breaker.failures = b"", 0
                     if key == 0:
--- a/tests/decisions/driver.py
+++ b/tests/decisions/driver.py
@@ -53,7 +53,7 @@
     idempotency=Idempotency.NON_IDEMPOTENT,
 )
 SETTINGS = Settings(classes=(IDEMPOTENT, WITH_IDEMPOTENCY_KEY, NON_IDEMPOTENT), may_hedge=True)
-COLD = replace(
+SLOW_START_SETTINGS = replace(
     SETTINGS,
     slow_start_capacity=0.2,
     slow_start_us=20_000_000,
@@ -70,7 +70,7 @@
     def __init__(self, settings: Settings = SETTINGS, endpoints: int = 3, seed: int = 1) -> None:
         self.balancer = Balancer(settings, seed)
         self.now_us = START_US
-        self.count = 0
+        self.request_count = 0
         self.timers: list[SetTimer] = []
         if endpoints:
             self.list_endpoints(*(Endpoint(n, group=n % 2) for n in range(endpoints)))
@@ -102,9 +102,9 @@
 
     def change_settings(self, settings: Settings) -> SettingsVersion:
         """Take over other settings; returns their generation."""
-        generation = succeed(self.balancer.settings_version, settings)
-        assert not self.handle(SettingsChanged(generation))
-        return generation
+        version = make_next_version(self.balancer.settings_version, settings)
+        assert not self.handle(SettingsChanged(version))
+        return version
 
     def subset(self, request_class: int = 0) -> list[EndpointState]:
         """The endpoints that a first attempt of a class may go to now."""
@@ -117,35 +117,37 @@
     def list_endpoints(self, *entries: Endpoint, kind: ListKind = ListKind.COMPLETE) -> list[Action]:
         return self.handle(EndpointListReceived(kind, entries))
 
-    def arrive(
-        self, request_class: int = 0, timeout_us: int = 400_000, **extra: int | bool
+    def start_request(
+        self, request_class: int = 0, timeout_us: int = 400_000, **fields: int | bool
     ) -> tuple[str, list[Action]]:
-        self.count += 1
-        name = f"r{self.count}"
-        event = RequestArrived(name, request_class, timeout_us)
-        return name, self.handle(replace(event, **extra))  # type: ignore[arg-type]
+        self.request_count += 1
+        request_id = f"r{self.request_count}"
+        event = RequestArrived(request_id, request_class, timeout_us)
+        return request_id, self.handle(replace(event, **fields))  # type: ignore[arg-type]
 
-    def end(
+    def end_attempt(
         self,
-        request: str,
-        endpoint: int,
+        request_id: str,
+        endpoint_id: int,
         outcome: Outcome = Outcome.OK,
         attempt: int = 0,
         latency_us: int = 20_000,
         load: tuple[tuple[str, float], ...] = (),
     ) -> list[Action]:
         finished = outcome is Outcome.OK
-        return self.handle(AttemptEnded(request, attempt, endpoint, outcome, latency_us, finished, load))
+        return self.handle(
+            AttemptEnded(request_id, attempt, endpoint_id, outcome, latency_us, finished, load)
+        )
 
 
-def succeed(before: SettingsVersion, settings: Settings) -> SettingsVersion:
+def make_next_version(current: SettingsVersion, settings: Settings) -> SettingsVersion:
     """The next generation, all its pieces at once."""
-    steps = next_version(before, settings)
+    steps = next_version(current, settings)
     while True:
         try:
             next(steps)
-        except StopIteration as end:
-            version = end.value
+        except StopIteration as completed:
+            version = completed.value
             break
     assert isinstance(version, SettingsVersion)
     return version
@@ -155,7 +157,7 @@
     return [action for action in actions if isinstance(action, Send)]
 
 
-def finals(actions: list[Action]) -> list[Reject | Fail]:
+def final_answers(actions: list[Action]) -> list[Reject | Fail]:
     return [action for action in actions if isinstance(action, Reject | Fail)]
 
 
--- a/tests/decisions/rule_checker.py
+++ b/tests/decisions/rule_checker.py
@@ -20,9 +20,9 @@
     TimerFired,
 )
 from load_balancer.decisions.settings import DeduplicationScope, Idempotency, RequestClass, Settings
-from tests.decisions.driver import SETTINGS, START_US, succeed
+from tests.decisions.driver import SETTINGS, START_US, make_next_version
 
-GROUPS = {n: n // 3 for n in range(6)}
+GROUP_BY_ENDPOINT = {n: n // 3 for n in range(6)}
 
 
 @dataclass
@@ -58,9 +58,11 @@
         self.now_us = START_US
         self.requests: dict[str, ClientRequest] = {}
         self.timers: list[tuple[int, int]] = []
-        self.status = dict.fromkeys(GROUPS, EndpointStatus.READY)
+        self.status_by_endpoint = dict.fromkeys(GROUP_BY_ENDPOINT, EndpointStatus.READY)
         self.handle(
-            EndpointListReceived(ListKind.COMPLETE, tuple(Endpoint(n, group=g) for n, g in GROUPS.items()))
+            EndpointListReceived(
+                ListKind.COMPLETE, tuple(Endpoint(n, group=g) for n, g in GROUP_BY_ENDPOINT.items())
+            )
         )
 
     def handle(self, event: Event) -> None:
@@ -84,21 +86,23 @@
             assert self.requests[action.request_id].settings.may_cancel
             assert action.attempt < len(self.requests[action.request_id].attempts)
 
-    def never_ran(self, request: ClientRequest) -> frozenset[Outcome]:
+    def never_executed_outcomes(self, request: ClientRequest) -> frozenset[Outcome]:
         return NEVER_EXECUTED - ({Outcome.REJECTED} if request.settings.rejected_may_have_run else set())
 
     def change_settings(self, settings: Settings) -> None:
         self.settings = settings
-        self.handle(SettingsChanged(succeed(self.balancer.settings_version, settings)))
+        self.handle(SettingsChanged(make_next_version(self.balancer.settings_version, settings)))
 
     def check_send(self, action: Send) -> None:
         request = self.requests[action.request_id]
         assert not request.done, "sent after the final answer"
-        assert self.status[action.endpoint_id] is EndpointStatus.READY
+        assert self.status_by_endpoint[action.endpoint_id] is EndpointStatus.READY
         assert len(request.attempts) < request.settings.max_attempts
         assert self.now_us < self.now_us + action.timeout_us <= request.deadline_us
         request_class = request.request_class
-        possibly_executed = [t for t in request.attempts if t.outcome not in self.never_ran(request)]
+        possibly_executed = [
+            t for t in request.attempts if t.outcome not in self.never_executed_outcomes(request)
+        ]
         if not request.settings.may_hedge:
             assert all(t.outcome is not None for t in request.attempts), "two attempts out at once"
         if request_class.ordered and request.key is not None:
@@ -106,7 +110,10 @@
         if request_class.idempotency is Idempotency.NON_IDEMPOTENT:
             assert not possibly_executed, "an unsafe request sent again"
         if request_class.idempotency is Idempotency.IDEMPOTENCY_KEY and possibly_executed:
-            assert all(GROUPS[t.endpoint] == GROUPS[action.endpoint_id] for t in possibly_executed)
+            assert all(
+                GROUP_BY_ENDPOINT[t.endpoint] == GROUP_BY_ENDPOINT[action.endpoint_id]
+                for t in possibly_executed
+            )
             assert self.now_us - possibly_executed[0].sent_us < request_class.deduplication_window_us
         request.attempts.append(Attempt(action.endpoint_id, self.now_us, action.timeout_us))
 
@@ -121,73 +128,84 @@
             assert self.now_us >= self.key_delayed_until_us.get(key, 0), "sent while the key rests"
 
     def check_reject(self, request: ClientRequest) -> None:
-        possibly_executed = [t for t in request.attempts if t.outcome not in self.never_ran(request)]
+        possibly_executed = [
+            t for t in request.attempts if t.outcome not in self.never_executed_outcomes(request)
+        ]
         if possibly_executed:
-            dropped = (
+            is_deduplicated = (
                 request.request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
                 and request.request_class.deduplication_scope is DeduplicationScope.ALL
             )
-            assert request.request_class.idempotency is Idempotency.IDEMPOTENT or dropped
+            assert request.request_class.idempotency is Idempotency.IDEMPOTENT or is_deduplicated
 
-    def arrive(self, request_class: int, timeout_us: int) -> None:
-        name = f"r{len(self.requests)}"
+    def start_request(self, request_class: int, timeout_us: int) -> None:
+        request_id = f"r{len(self.requests)}"
         key = (None, 1, 2, 1)[timeout_us % 4]
-        terms = self.settings.classes[request_class]
-        self.requests[name] = ClientRequest(terms, self.settings, self.now_us + timeout_us, key)
-        self.handle(RequestArrived(name, request_class, timeout_us, key))
+        class_settings = self.settings.classes[request_class]
+        self.requests[request_id] = ClientRequest(
+            class_settings, self.settings, self.now_us + timeout_us, key
+        )
+        self.handle(RequestArrived(request_id, request_class, timeout_us, key))
 
-    def finish(self, pick: int, outcome: Outcome) -> None:
+    def end_chosen_attempt(self, choice: int, outcome: Outcome) -> None:
         in_flight = [
             (n, i) for n, c in self.requests.items() for i, t in enumerate(c.attempts) if t.outcome is None
         ]
         if in_flight:
-            self.end_attempt(*in_flight[pick % len(in_flight)], outcome)
+            self.end_attempt(*in_flight[choice % len(in_flight)], outcome)
 
-    def end_attempt(self, name: str, number: int, outcome: Outcome) -> None:
-        request = self.requests[name]
-        attempt = request.attempts[number]
+    def end_attempt(self, request_id: str, attempt_number: int, outcome: Outcome) -> None:
+        request = self.requests[request_id]
+        attempt = request.attempts[attempt_number]
         attempt.outcome = outcome
         request.done = request.done or outcome is Outcome.OK
         if request.key is not None and request.request_class.ordered and outcome in MAY_STILL_EXECUTE:
             self.key_delayed_until_us[request.key] = self.now_us + request.settings.ordered_key_delay_us
         event = AttemptEnded(
-            name, number, attempt.endpoint, outcome, self.now_us - attempt.sent_us, finished=request.done
+            request_id,
+            attempt_number,
+            attempt.endpoint,
+            outcome,
+            self.now_us - attempt.sent_us,
+            finished=request.done,
         )
         self.handle(event)
 
-    def disconnect(self, pick: int) -> None:
+    def disconnect_chosen_client(self, choice: int) -> None:
         open_requests = [n for n, c in self.requests.items() if not c.done]
         if open_requests:
-            name = open_requests[pick % len(open_requests)]
-            self.requests[name].done = True
-            self.handle(ClientDisconnected(name))
+            request_id = open_requests[choice % len(open_requests)]
+            self.requests[request_id].done = True
+            self.handle(ClientDisconnected(request_id))
 
     def set_status(self, endpoint: int, status: EndpointStatus) -> None:
-        self.status[endpoint] = status
+        self.status_by_endpoint[endpoint] = status
         started_us = self.now_us if self.settings.slow_start_us else 0
-        entry = Endpoint(endpoint, status, group=GROUPS[endpoint], started_us=started_us)
+        entry = Endpoint(endpoint, status, group=GROUP_BY_ENDPOINT[endpoint], started_us=started_us)
         self.handle(EndpointListReceived(ListKind.DELTA, (entry,)))
 
-    def advance(self, by_us: int) -> None:
+    def advance(self, duration_us: int) -> None:
         """Move the clock to each due timer and each time-out on the way."""
-        target = self.now_us + by_us
+        target_us = self.now_us + duration_us
         while True:
-            dues = [due for due, _ in self.timers] + [
+            due_times_us = [due_us for due_us, _ in self.timers] + [
                 t.sent_us + t.timeout_us
                 for c in self.requests.values()
                 for t in c.attempts
                 if t.outcome is None
             ]
-            due = min(dues, default=target + 1)
-            if due > target:
+            due_us = min(due_times_us, default=target_us + 1)
+            if due_us > target_us:
                 break
-            self.now_us = max(self.now_us, due)
-            for name, request in self.requests.items():
-                for number, attempt in enumerate(request.attempts):
+            self.now_us = max(self.now_us, due_us)
+            for request_id, request in self.requests.items():
+                for attempt_number, attempt in enumerate(request.attempts):
                     if attempt.outcome is None and attempt.sent_us + attempt.timeout_us <= self.now_us:
-                        self.end_attempt(name, number, Outcome.TIMEOUT)
-            fired = [token for when, token in self.timers if when <= self.now_us]
-            self.timers = [(when, token) for when, token in self.timers if when > self.now_us]
+                        self.end_attempt(request_id, attempt_number, Outcome.TIMEOUT)
+            fired = [token for timer_due_us, token in self.timers if timer_due_us <= self.now_us]
+            self.timers = [
+                (timer_due_us, token) for timer_due_us, token in self.timers if timer_due_us > self.now_us
+            ]
             for token in fired:
                 self.handle(TimerFired(token))
-        self.now_us = target
+        self.now_us = target_us
--- a/tests/decisions/sparse_dense_comparison.py
+++ b/tests/decisions/sparse_dense_comparison.py
@@ -39,27 +39,29 @@
         self.random = random.Random(seed)
         self.settings = self.draw_settings(classes, tenants)
         self.sparse, self.dense = Balancer(self.settings, seed), DenseBalancer(self.settings, seed)
-        self.now_us, self.count = START_US, 0
-        self.attempts: dict[str, int] = {}  # attempts by request
+        self.now_us, self.request_count = START_US, 0
+        self.attempt_counts: dict[str, int] = {}  # attempts by request
         self.in_flight: dict[tuple[str, int], tuple[int, int]] = {}
         self.timers: list[tuple[int, int]] = []
         self.actions: list[object] = []
-        self.endpoints, self.tenants = self.random.choice((2, 6, 12)), max(1, tenants)
+        self.endpoint_count, self.tenants = self.random.choice((2, 6, 12)), max(1, tenants)
         self.handle(
-            EndpointListReceived(ListKind.CACHED, tuple(self.draw_endpoint(n) for n in range(self.endpoints)))
+            EndpointListReceived(
+                ListKind.CACHED, tuple(self.draw_endpoint(n) for n in range(self.endpoint_count))
+            )
         )
 
     def draw_settings(self, classes: int, tenants: int) -> Settings:
-        draw = self.random
+        rng = self.random
         return Settings(
             tuple(
                 RequestClass(
-                    latency_objective_us=draw.choice((100_000, 300_000)),
+                    latency_objective_us=rng.choice((100_000, 300_000)),
                     client_timeout_us=400_000,
-                    priority_weight=draw.choice((1.0, 3.0, 8.0)),
-                    late_weight_share=draw.choice((0.0, 0.2)),
-                    idempotency=draw.choice(list(Idempotency)),
-                    deduplication_scope=draw.choice(list(DeduplicationScope)),
+                    priority_weight=rng.choice((1.0, 3.0, 8.0)),
+                    late_weight_share=rng.choice((0.0, 0.2)),
+                    idempotency=rng.choice(list(Idempotency)),
+                    deduplication_scope=rng.choice(list(DeduplicationScope)),
                     deduplication_window_us=150_000,
                 )
                 for _ in range(classes)
@@ -67,14 +69,14 @@
             objective=ObjectiveWeights(0.7, 0.1, 0.1, 0.1),
             prices=Prices(cross_zone=0.01),
             zones=2,
-            clients_mark_retries=draw.random() < 0.5,
-            may_hedge=draw.random() < 0.3,
-            weight_by_work=draw.random() < 0.5,
+            clients_mark_retries=rng.random() < 0.5,
+            may_hedge=rng.random() < 0.3,
+            weight_by_work=rng.random() < 0.5,
             slow_start_capacity=0.2,
             slow_start_us=10_000_000,
             overload_multiple=2.5,
             overload_window_us=3_000_000,
-            tenants=tuple(Tenant(draw.choice((0.0, 5.0, 50.0))) for _ in range(tenants)),
+            tenants=tuple(Tenant(rng.choice((0.0, 5.0, 50.0))) for _ in range(tenants)),
             over_quota_weight_share=0.1,
         )
 
@@ -88,53 +90,51 @@
         for action in actions:
             self.actions.append(action)
             if isinstance(action, Send):
-                number = self.attempts.get(action.request_id, 0)
-                self.attempts[action.request_id] = number + 1
-                self.in_flight[action.request_id, number] = (action.endpoint_id, self.now_us)
+                attempt_number = self.attempt_counts.get(action.request_id, 0)
+                self.attempt_counts[action.request_id] = attempt_number + 1
+                self.in_flight[action.request_id, attempt_number] = (action.endpoint_id, self.now_us)
             elif isinstance(action, SetTimer):
                 self.timers.append((action.due_us, action.token))
 
-    def end_attempt(self, key: tuple[str, int], outcome: Outcome) -> None:
-        endpoint, sent_us = self.in_flight.pop(key)
+    def end_attempt(self, attempt: tuple[str, int], outcome: Outcome) -> None:
+        endpoint, sent_us = self.in_flight.pop(attempt)
         load = self.random.choice(((), (("queue", 2.0), ("eps", 0.1), ("latency_ms", 8.0))))
         finished = outcome is Outcome.OK
-        self.handle(AttemptEnded(*key, endpoint, outcome, self.now_us - sent_us, finished, load))
+        self.handle(AttemptEnded(*attempt, endpoint, outcome, self.now_us - sent_us, finished, load))
 
     def step(self, gap_us: float) -> None:
-        draw = self.random
-        self.now_us += int(draw.expovariate(1 / gap_us))
-        if draw.random() < 0.002:
+        rng = self.random
+        self.now_us += int(rng.expovariate(1 / gap_us))
+        if rng.random() < 0.002:
             self.now_us += BREAKER_EXPIRY_US * 2 // 3  # some rings lapse, others do not
-        for due in sorted(self.timers):
-            if due[0] <= self.now_us:
-                self.timers.remove(due)
-                self.handle(TimerFired(due[1]))
-        event_draw = draw.random()
-        if event_draw < 0.5:
-            self.count += 1
+        for timer in sorted(self.timers):
+            if timer[0] <= self.now_us:
+                self.timers.remove(timer)
+                self.handle(TimerFired(timer[1]))
+        event_choice = rng.random()
+        if event_choice < 0.5:
+            self.request_count += 1
             request_class, tenant = (
-                draw.randrange(len(self.settings.classes)),
-                draw.randrange(max(1, len(self.settings.tenants))),
-            )
-            timeout_us, affinity = draw.choice((50_000, 400_000)), draw.choice((None, 1, 2))
-            request_id, is_retry = f"r{self.count}", draw.random() < 0.1
-            self.handle(
-                RequestArrived(request_id, request_class, timeout_us, affinity, 9_000, is_retry, tenant)
+                rng.randrange(len(self.settings.classes)),
+                rng.randrange(max(1, len(self.settings.tenants))),
             )
-        elif event_draw < 0.96 and self.in_flight:
-            key = draw.choice(list(self.in_flight))
-            bad = draw.random() < (0.8 if self.in_flight[key][0] % 3 == 0 else 0.05)
-            self.end_attempt(key, draw.choice(list(Outcome)) if bad else Outcome.OK)
-        elif event_draw < 0.98:
-            self.handle(ClientDisconnected(f"r{draw.randrange(self.count + 1)}"))
-        elif event_draw < 0.995:
+            timeout_us, key = rng.choice((50_000, 400_000)), rng.choice((None, 1, 2))
+            request_id, is_retry = f"r{self.request_count}", rng.random() < 0.1
+            self.handle(RequestArrived(request_id, request_class, timeout_us, key, 9_000, is_retry, tenant))
+        elif event_choice < 0.96 and self.in_flight:
+            attempt = rng.choice(list(self.in_flight))
+            is_faulty = rng.random() < (0.8 if self.in_flight[attempt][0] % 3 == 0 else 0.05)
+            self.end_attempt(attempt, rng.choice(list(Outcome)) if is_faulty else Outcome.OK)
+        elif event_choice < 0.98:
+            self.handle(ClientDisconnected(f"r{rng.randrange(self.request_count + 1)}"))
+        elif event_choice < 0.995:
             statuses = [EndpointStatus.READY] * 3 + list(EndpointStatus)
-            names = [draw.randrange(self.endpoints + 2) for _ in range(draw.choice((1, 2, 5)))]
+            endpoint_ids = [rng.randrange(self.endpoint_count + 2) for _ in range(rng.choice((1, 2, 5)))]
             self.handle(
                 EndpointListReceived(
-                    ListKind.DELTA, tuple(self.draw_endpoint(n, draw.choice(statuses)) for n in names)
+                    ListKind.DELTA, tuple(self.draw_endpoint(n, rng.choice(statuses)) for n in endpoint_ids)
                 )
             )
         else:
-            remaining = [n for n in range(self.endpoints) if draw.random() < 0.9]
+            remaining = [n for n in range(self.endpoint_count) if rng.random() < 0.9]
             self.handle(EndpointListReceived(ListKind.COMPLETE, tuple(map(self.draw_endpoint, remaining))))
--- a/tests/decisions/test_balancer.py
+++ b/tests/decisions/test_balancer.py
@@ -9,34 +9,34 @@
     Outcome,
     TimerFired,
 )
-from tests.decisions.driver import Driver, finals, sends
+from tests.decisions.driver import Driver, final_answers, sends
 
 
 def test_a_duplicate_request_id_is_ignored(driver: Driver) -> None:
-    driver.arrive()
-    driver.count = 0
-    _, actions = driver.arrive()
+    driver.start_request()
+    driver.request_count = 0
+    _, actions = driver.start_request()
     assert not sends(actions)
-    assert not finals(actions)
+    assert not final_answers(actions)
 
 
 def test_a_request_of_an_unknown_class_fails(driver: Driver) -> None:
-    name, actions = driver.arrive(request_class=7)
-    assert finals(actions) == [Fail(name)]
+    request_id, actions = driver.start_request(request_class=7)
+    assert final_answers(actions) == [Fail(request_id)]
 
 
 def test_a_finished_request_leaves_no_state() -> None:
     driver = Driver(endpoints=4)
     for n in range(3_000):
-        name, actions = driver.arrive(request_class=n % 3)
+        request_id, actions = driver.start_request(request_class=n % 3)
         for send in sends(actions):
-            driver.end(name, send.endpoint_id, Outcome.OK if n % 7 else Outcome.CONNECT_FAILED)
+            driver.end_attempt(request_id, send.endpoint_id, Outcome.OK if n % 7 else Outcome.CONNECT_FAILED)
         if n % 100 == 0:
             driver.list_endpoints(*(Endpoint(n + i) for i in range(4)))
-        for request in list(driver.lifecycle.requests):
-            driver.handle(ClientDisconnected(request))
+        for open_request_id in list(driver.lifecycle.requests):
+            driver.handle(ClientDisconnected(open_request_id))
             for i in range(3):
-                driver.end(request, 0, Outcome.CANCELLED, attempt=i)
+                driver.end_attempt(open_request_id, 0, Outcome.CANCELLED, attempt=i)
         driver.now_us += 10_000
     for timer in driver.timers:
         driver.handle(TimerFired(timer.token))
@@ -48,7 +48,7 @@
     assert balancer.concurrency_limit.in_flight == 0
 
 
-def test_a_clock_that_steps_back_stands_still(driver: Driver) -> None:
+def test_the_clock_of_the_balancer_never_goes_back(driver: Driver) -> None:
     driver.balancer.handle(driver.now_us, ClientDisconnected("none"))
     driver.balancer.handle(driver.now_us - 5_000_000, ClientDisconnected("none"))
     assert driver.balancer.context.now_us == driver.now_us
--- a/tests/decisions/test_circuit_breaker.py
+++ b/tests/decisions/test_circuit_breaker.py
@@ -16,14 +16,14 @@
 from tests.decisions.driver import Driver, sends, trip
 
 
-def tripped() -> CircuitBreaker:
+def open_breaker() -> CircuitBreaker:
     breaker = CircuitBreaker()
     trip(breaker, 0)
     return breaker
 
 
-def half_open() -> CircuitBreaker:
-    breaker = tripped()
+def half_open_breaker() -> CircuitBreaker:
+    breaker = open_breaker()
     assert breaker.lets_through(INITIAL_COOLDOWN_US)
     return breaker
 
@@ -36,7 +36,7 @@
     assert breaker.record(0, True, 0, 0.0) is BreakerState.OPEN
 
 
-def test_the_ring_forgets_its_oldest_outcome() -> None:
+def test_a_full_window_drops_its_oldest_outcome() -> None:
     breaker = CircuitBreaker()
     breaker.record(0, True, 0, 0.0)
     for _ in range(RING_SIZE):
@@ -45,23 +45,23 @@
     assert len(breaker.ring) == RING_SIZE
 
 
-def test_an_open_breaker_lets_nothing_through_until_the_cooldown_ends() -> None:
-    breaker = tripped()
+def test_an_open_breaker_allows_no_request_until_the_cooldown_ends() -> None:
+    breaker = open_breaker()
     assert not breaker.lets_through(INITIAL_COOLDOWN_US - 1)
     assert breaker.lets_through(INITIAL_COOLDOWN_US)
     assert breaker.state is BreakerState.HALF_OPEN
 
 
-def test_a_half_open_breaker_lets_only_its_trials_through() -> None:
-    breaker = half_open()
+def test_a_half_open_breaker_allows_only_its_trials() -> None:
+    breaker = half_open_breaker()
     for _ in range(HALF_OPEN_TRIALS):
         assert breaker.lets_through(INITIAL_COOLDOWN_US)
         assert breaker.take_trial() == 1
     assert not breaker.lets_through(INITIAL_COOLDOWN_US)
 
 
-def test_good_trials_close_and_empty_the_ring() -> None:
-    breaker = half_open()
+def test_successful_trials_close_the_breaker_and_clear_its_outcomes() -> None:
+    breaker = half_open_breaker()
     for _ in range(HALF_OPEN_TRIALS):
         breaker.take_trial()
     results = [breaker.record(INITIAL_COOLDOWN_US, False, 1, 0.0) for _ in range(HALF_OPEN_TRIALS)]
@@ -70,8 +70,8 @@
     assert breaker.failures == 0
 
 
-def test_bad_trials_reopen_for_longer() -> None:
-    breaker = half_open()
+def test_failed_trials_reopen_the_breaker_with_a_longer_cooldown() -> None:
+    breaker = half_open_breaker()
     for _ in range(HALF_OPEN_TRIALS):
         breaker.take_trial()
     breaker.record(INITIAL_COOLDOWN_US, True, 1, 0.0)
@@ -79,8 +79,8 @@
     assert breaker.open_until_us == 3 * INITIAL_COOLDOWN_US
 
 
-def test_in_half_open_only_trials_count() -> None:
-    breaker = half_open()
+def test_a_half_open_breaker_counts_only_the_outcomes_of_trials() -> None:
+    breaker = half_open_breaker()
     breaker.take_trial()
     for _ in range(RING_SIZE):
         assert breaker.record(INITIAL_COOLDOWN_US, True, 0, 0.0) is None
@@ -88,13 +88,13 @@
     assert breaker.trials_in_flight == 1
 
 
-def test_late_outcomes_enter_the_ring_and_restart_the_cooldown() -> None:
-    breaker = tripped()
+def test_a_failure_while_the_breaker_is_open_restarts_the_cooldown() -> None:
+    breaker = open_breaker()
     assert breaker.record(INITIAL_COOLDOWN_US // 2, True, 0, 0.0) is BreakerState.OPEN
     assert breaker.open_until_us == INITIAL_COOLDOWN_US // 2 + INITIAL_COOLDOWN_US
 
 
-def test_failures_that_all_endpoints_share_open_no_breaker() -> None:
+def test_a_failure_rate_that_all_endpoints_share_opens_no_breaker() -> None:
     breaker = CircuitBreaker()
     for n in range(RING_SIZE):
         breaker.record(0, n % 2 == 0, 0, 0.5)
@@ -104,23 +104,25 @@
 def test_an_endpoint_that_fails_is_ejected() -> None:
     driver = Driver(endpoints=3)
     for _ in range(200):
-        name, actions = driver.arrive()
-        endpoint = sends(actions)[0].endpoint_id
-        actions = driver.end(name, endpoint, Outcome.ERROR if endpoint == 0 else Outcome.OK)
-        for again in sends(actions):
-            driver.end(name, again.endpoint_id, attempt=1)
+        request_id, actions = driver.start_request()
+        endpoint_id = sends(actions)[0].endpoint_id
+        actions = driver.end_attempt(
+            request_id, endpoint_id, Outcome.ERROR if endpoint_id == 0 else Outcome.OK
+        )
+        for retry in sends(actions):
+            driver.end_attempt(request_id, retry.endpoint_id, attempt=1)
     assert driver.endpoints[0].breakers[0].state is BreakerState.OPEN
     for _ in range(50):
-        name, actions = driver.arrive()
+        request_id, actions = driver.start_request()
         assert sends(actions)[0].endpoint_id != 0
-        driver.end(name, sends(actions)[0].endpoint_id)
+        driver.end_attempt(request_id, sends(actions)[0].endpoint_id)
 
 
-def test_a_failed_connect_is_one_failure_among_others() -> None:
+def test_a_failed_connect_counts_as_one_failure() -> None:
     """Where handshakes were slow, one failed connect shut out endpoints whose open connections worked."""
     driver = Driver(endpoints=1)
     for n in range(MINIMUM_OUTCOMES):
         assert driver.endpoints[0].breakers[0].state is BreakerState.CLOSED
-        name, actions = driver.arrive(request_class=n % 3)
-        driver.end(name, sends(actions)[0].endpoint_id, Outcome.CONNECT_FAILED)
+        request_id, actions = driver.start_request(request_class=n % 3)
+        driver.end_attempt(request_id, sends(actions)[0].endpoint_id, Outcome.CONNECT_FAILED)
     assert driver.endpoints[0].breakers[0].state is BreakerState.OPEN
--- a/tests/decisions/test_picker.py
+++ b/tests/decisions/test_picker.py
@@ -15,31 +15,33 @@
     trip(breaker, driver.now_us)
     driver.now_us = breaker.open_until_us
     for _ in range(2):
-        assert sends(driver.arrive(request_class=2)[1])[0].endpoint_id == 1
+        assert sends(driver.start_request(request_class=2)[1])[0].endpoint_id == 1
 
 
 def test_endpoints_in_other_zones_weigh_less_by_the_price_of_crossing() -> None:
     driver = Driver(replace(SETTINGS, prices=Prices(cross_zone=0.05)), endpoints=0)
     driver.list_endpoints(Endpoint(1, zone=0), Endpoint(2, zone=1))
-    to_home = 0
+    sent_to_own_zone = 0
     for _ in range(200):
-        name, actions = driver.arrive()
-        to_home += sends(actions)[0].endpoint_id == 1
-        driver.end(name, sends(actions)[0].endpoint_id)
-    assert 130 < to_home < 190
+        request_id, actions = driver.start_request()
+        sent_to_own_zone += sends(actions)[0].endpoint_id == 1
+        driver.end_attempt(request_id, sends(actions)[0].endpoint_id)
+    assert 130 < sent_to_own_zone < 190
 
 
-def test_requests_of_a_key_go_to_its_home_while_that_has_room() -> None:
+def test_most_requests_of_a_key_go_to_one_endpoint() -> None:
     driver = Driver(replace(SETTINGS, key_affinity=True), endpoints=8)
-    met: dict[int, int] = {}
+    requests_by_endpoint: dict[int, int] = {}
     for _ in range(100):
-        name, actions = driver.arrive(key=77)
-        endpoint = sends(actions)[0].endpoint_id
-        met[endpoint] = met.get(endpoint, 0) + 1
-        driver.end(name, endpoint)
-    assert max(met.values()) > 50
-    assert len(met) > 1
-
-
-def test_non_idempotent_requests_are_trials_where_no_endpoint_is_closed(all_half_open: Driver) -> None:
-    assert sends(all_half_open.arrive(request_class=2)[1])
+        request_id, actions = driver.start_request(key=77)
+        endpoint_id = sends(actions)[0].endpoint_id
+        requests_by_endpoint[endpoint_id] = requests_by_endpoint.get(endpoint_id, 0) + 1
+        driver.end_attempt(request_id, endpoint_id)
+    assert max(requests_by_endpoint.values()) > 50
+    assert len(requests_by_endpoint) > 1
+
+
+def test_non_idempotent_requests_are_trials_where_no_endpoint_is_closed(
+    driver_after_cooldown: Driver,
+) -> None:
+    assert sends(driver_after_cooldown.start_request(request_class=2)[1])
--- a/tests/decisions/test_rate_limited_log.py
+++ b/tests/decisions/test_rate_limited_log.py
@@ -9,10 +9,10 @@
 
 
 def test_log_lines_are_rate_limited(driver: Driver) -> None:
-    first, second = driver.arrive(request_class=7)[1], driver.arrive(request_class=7)[1]
+    first, second = driver.start_request(request_class=7)[1], driver.start_request(request_class=7)[1]
     driver.now_us += MIN_LOG_INTERVAL_US
-    third = driver.arrive(request_class=7)[1]
+    third = driver.start_request(request_class=7)[1]
     assert [sum(isinstance(a, LogEvent) for a in actions) for actions in (first, second, third)] == [1, 0, 1]
-    (line,) = (a for a in third if isinstance(a, LogEvent))
-    assert dict(line.fields)["suppressed"] == 1
-    assert format_action(line).endswith(" suppressed=1")
+    (event,) = (a for a in third if isinstance(a, LogEvent))
+    assert dict(event.fields)["suppressed"] == 1
+    assert format_action(event).endswith(" suppressed=1")
--- a/tests/decisions/test_rendezvous.py
+++ b/tests/decisions/test_rendezvous.py
@@ -5,13 +5,13 @@
 from load_balancer.decisions.rendezvous import rendezvous_rank
 
 
-def test_subsets_are_even_and_move_little() -> None:
-    used = [0] * 40
+def test_subsets_are_even_and_change_little() -> None:
+    subset_counts = [0] * 40
     for gateway in range(400):
         ranks = sorted(range(40), key=lambda endpoint: rendezvous_rank(gateway, endpoint, 1.0))
-        without = [endpoint for endpoint in ranks if endpoint != 3]
-        assert [r for r in ranks[:4] if r != 3] == without[: 4 - (3 in ranks[:4])]
+        others = [endpoint for endpoint in ranks if endpoint != 3]
+        assert [r for r in ranks[:4] if r != 3] == others[: 4 - (3 in ranks[:4])]
         for endpoint in ranks[:4]:
-            used[endpoint] += 1
-    assert min(used) > 20
-    assert max(used) < 65
+            subset_counts[endpoint] += 1
+    assert min(subset_counts) > 20
+    assert max(subset_counts) < 65
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -32,13 +32,13 @@
 
 
 STEPS = st.one_of(
-    st.tuples(st.just("arrive"), st.integers(0, 2), st.integers(1_000, 400_000)),
-    st.tuples(st.just("arrive"), st.integers(0, 2), st.integers(100_000, 400_000)),
-    st.tuples(st.just("finish"), st.integers(0, 50), st.sampled_from(list(Outcome))),
-    st.tuples(st.just("finish"), st.integers(0, 50), st.just(Outcome.OK)),
-    st.tuples(st.just("repeat"), st.integers(0, 50), st.sampled_from(list(Outcome))),
-    st.tuples(st.just("leave"), st.integers(0, 50), st.just(0)),
-    st.tuples(st.just("status"), st.integers(0, 5), st.sampled_from(list(EndpointStatus))),
+    st.tuples(st.just("start_request"), st.integers(0, 2), st.integers(1_000, 400_000)),
+    st.tuples(st.just("start_request"), st.integers(0, 2), st.integers(100_000, 400_000)),
+    st.tuples(st.just("end_attempt"), st.integers(0, 50), st.sampled_from(list(Outcome))),
+    st.tuples(st.just("end_attempt"), st.integers(0, 50), st.just(Outcome.OK)),
+    st.tuples(st.just("unknown_outcome"), st.integers(0, 50), st.sampled_from(list(Outcome))),
+    st.tuples(st.just("disconnect"), st.integers(0, 50), st.just(0)),
+    st.tuples(st.just("set_status"), st.integers(0, 5), st.sampled_from(list(EndpointStatus))),
     st.tuples(st.just("advance"), st.integers(100, 200_000), st.just(0)),
 )
 
@@ -74,7 +74,11 @@
 )
 @given(
     st.integers(0, 3),
-    st.lists(STEPS | st.tuples(st.just("change"), st.integers(0, 14), st.just(0)), min_size=10, max_size=150),
+    st.lists(
+        STEPS | st.tuples(st.just("change_settings"), st.integers(0, 14), st.just(0)),
+        min_size=10,
+        max_size=150,
+    ),
 )
 def test_each_request_follows_the_settings_version_that_it_arrived_under(
     seed: int, steps: list[tuple[str, int, int]]
@@ -84,21 +88,21 @@
 
 
 def play(checker: RuleChecker, steps: list[tuple[str, int, int]]) -> None:
-    for what, first, second in steps:
-        if what == "arrive":
-            checker.arrive(first, second)
-        elif what == "finish":
-            checker.finish(first, second)  # type: ignore[arg-type]
-        elif what == "repeat":  # an outcome for something finished long ago, or never sent
-            checker.handle(AttemptEnded(f"r{first}", 9, 0, second, 1))  # type: ignore[arg-type]
-        elif what == "leave":
-            checker.disconnect(first)
-        elif what == "change":
-            checker.change_settings(SETTINGS_VERSIONS[first])
-        elif what == "status":
-            checker.set_status(first, second)  # type: ignore[arg-type]
+    for step, first_argument, second_argument in steps:
+        if step == "start_request":
+            checker.start_request(first_argument, second_argument)
+        elif step == "end_attempt":
+            checker.end_chosen_attempt(first_argument, second_argument)  # type: ignore[arg-type]
+        elif step == "unknown_outcome":  # an outcome for something finished long ago, or never sent
+            checker.handle(AttemptEnded(f"r{first_argument}", 9, 0, second_argument, 1))  # type: ignore[arg-type]
+        elif step == "disconnect":
+            checker.disconnect_chosen_client(first_argument)
+        elif step == "change_settings":
+            checker.change_settings(SETTINGS_VERSIONS[first_argument])
+        elif step == "set_status":
+            checker.set_status(first_argument, second_argument)  # type: ignore[arg-type]
         else:
-            checker.advance(first)
+            checker.advance(first_argument)
     checker.advance(2_000_000)
     for request in checker.requests.values():
         assert request.done, "a request was left without its final answer"
@@ -111,37 +115,37 @@
 
 @pytest.mark.parametrize("seed", [1, 7])
 def test_equal_events_give_equal_actions(seed: int) -> None:
-    logs = []
+    runs = []
     for _ in range(2):
         balancer = Balancer(SETTINGS, seed)
-        log = list(
+        actions = list(
             balancer.handle(
                 START_US, EndpointListReceived(ListKind.COMPLETE, tuple(Endpoint(n) for n in range(8)))
             )
         )
         for n in range(200):
-            log += balancer.handle(START_US + n * 1_000, RequestArrived(f"r{n}", n % 3, 300_000))
-        logs.append(log)
-    assert logs[0] == logs[1]
-    assert sum(isinstance(a, Send) for a in logs[0]) > 8
+            actions += balancer.handle(START_US + n * 1_000, RequestArrived(f"r{n}", n % 3, 300_000))
+        runs.append(actions)
+    assert runs[0] == runs[1]
+    assert sum(isinstance(a, Send) for a in runs[0]) > 8
 
 
 @pytest.mark.parametrize("gateways", [1, 3, 8])
-@pytest.mark.parametrize("multiple", [1, 3, 6])
+@pytest.mark.parametrize("overload_multiple", [1, 3, 6])
 @pytest.mark.parametrize("gap_us", [0, 500, 15_000])
 def test_a_gateway_sends_at_most_its_share_of_the_capacity_in_slow_start(
-    gateways: int, multiple: int, gap_us: int
+    gateways: int, overload_multiple: int, gap_us: int
 ) -> None:
     """Gateways that each used the whole capacity would overload an endpoint in its slow start."""
-    unsafe = RequestClass(latency_objective_us=400_000, client_timeout_us=1_000_000)
-    cold = Settings(
-        (unsafe,),
+    non_idempotent = RequestClass(latency_objective_us=400_000, client_timeout_us=1_000_000)
+    slow_start_settings = Settings(
+        (non_idempotent,),
         slow_start_capacity=0.25,
         slow_start_us=8_000_000,
-        overload_multiple=multiple,
+        overload_multiple=overload_multiple,
         gateways=gateways,
     )
-    balancer = Balancer(cold, 3)
+    balancer = Balancer(slow_start_settings, 3)
     balancer.context.classes[0].smoothed_us = balancer.context.classes[0].unloaded_us = 10_000.0
     now_us = START_US
     entries = (Endpoint(1, started_us=now_us), Endpoint(2, weight=0.001))
@@ -154,8 +158,12 @@
                 sent_us += [now_us] * (action.endpoint_id == 1)
                 end = AttemptEnded(f"r{n}", 0, action.endpoint_id, Outcome.OK, 10_000, finished=True)
                 balancer.handle(now_us, end)
-    warm_us = START_US + cold.slow_start_us
-    for first in (t for t in sent_us if t + cold.overload_window_us <= warm_us):
-        span = [t for t in sent_us if first <= t < first + cold.overload_window_us]
-        capacity = 0.25 + 0.75 * (first - START_US) / cold.slow_start_us
-        assert len(span) * 10_000 <= max(multiple * capacity * cold.overload_window_us / gateways, 10_000)
+    slow_start_end_us = START_US + slow_start_settings.slow_start_us
+    for first_us in (t for t in sent_us if t + slow_start_settings.overload_window_us <= slow_start_end_us):
+        sent_in_window_us = [
+            t for t in sent_us if first_us <= t < first_us + slow_start_settings.overload_window_us
+        ]
+        capacity = 0.25 + 0.75 * (first_us - START_US) / slow_start_settings.slow_start_us
+        assert len(sent_in_window_us) * 10_000 <= max(
+            overload_multiple * capacity * slow_start_settings.overload_window_us / gateways, 10_000
+        )
--- a/tests/decisions/test_settings.py
+++ b/tests/decisions/test_settings.py
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "invalid",
     [
         {"latency_objective_us": 0},
         {"client_timeout_us": -1},
@@ -22,13 +22,13 @@
         {"late_weight_share": 1.5},
     ],
 )
-def test_classes_that_cannot_be_used_are_rejected(bad: dict[str, float]) -> None:
-    with pytest.raises(ValueError, match=next(iter(bad))):
-        RequestClass(**{"latency_objective_us": 1, "client_timeout_us": 1, **bad})  # type: ignore[arg-type]
+def test_invalid_classes_are_rejected(invalid: dict[str, float]) -> None:
+    with pytest.raises(ValueError, match=next(iter(invalid))):
+        RequestClass(**{"latency_objective_us": 1, "client_timeout_us": 1, **invalid})  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "invalid",
     [
         {"classes": ()},
         {"gateways": 0},
@@ -43,15 +43,15 @@
         {"over_quota_weight_share": 1.5},
     ],
 )
-def test_settings_that_cannot_be_used_are_rejected(bad: dict[str, object]) -> None:
-    with pytest.raises(ValueError, match=next(iter(bad))):
-        replace(SETTINGS, **bad)  # type: ignore[arg-type]
+def test_invalid_settings_are_rejected(invalid: dict[str, object]) -> None:
+    with pytest.raises(ValueError, match=next(iter(invalid))):
+        replace(SETTINGS, **invalid)  # type: ignore[arg-type]
 
 
-@pytest.mark.parametrize("bad", [{"cross_zone": NAN}, {"waste": -1}])
-def test_prices_that_cannot_be_used_are_rejected(bad: dict[str, float]) -> None:
-    with pytest.raises(ValueError, match=next(iter(bad))):
-        Prices(**bad)
+@pytest.mark.parametrize("invalid", [{"cross_zone": NAN}, {"waste": -1}])
+def test_invalid_prices_are_rejected(invalid: dict[str, float]) -> None:
+    with pytest.raises(ValueError, match=next(iter(invalid))):
+        Prices(**invalid)
 
 
 def test_non_idempotent_is_the_default() -> None:
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -12,20 +12,20 @@
 from load_balancer.decisions.events import (
     Outcome,
 )
-from tests.decisions.driver import COLD, Driver, sends
+from tests.decisions.driver import SLOW_START_SETTINGS, Driver, sends
 
 
 def test_all_gateways_together_keep_endpoints_within_the_slow_start_budget() -> None:
     """Each gateway sent its one allowed request at the moment an endpoint was listed, forty at once."""
     work_us = [0.0] * 20  # by windows of half a second
     for gateway in range(40):
-        driver = Driver(replace(COLD, gateway_index=gateway), endpoints=0, seed=gateway)
+        driver = Driver(replace(SLOW_START_SETTINGS, gateway_index=gateway), endpoints=0, seed=gateway)
         driver.list_endpoints(Endpoint(1, started_us=driver.now_us))
         for step in range(1_000):
-            name, actions = driver.arrive()
+            request_id, actions = driver.start_request()
             if sends(actions):
                 work_us[step // 50] += driver.classes[0].unloaded_us
-                driver.end(name, 1, latency_us=30_000)
+                driver.end_attempt(request_id, 1, latency_us=30_000)
             driver.now_us += 10_000
     for first, second in pairwise(work_us):
         assert first + second <= 3.0 * 0.6 * 1_000_000
@@ -34,26 +34,28 @@
 
 def test_overload_does_not_inflate_the_work_charged_in_slow_start() -> None:
     """While the warm endpoints were jammed, requests seemed to cost more, and cold ones got none."""
-    sent = []
-    for hint in (None, 10_000):
-        for jammed in (False, True):
-            driver = Driver(replace(COLD, gateways=2), endpoints=0)
+    sent_counts = []
+    for work_hint_us in (None, 10_000):
+        for overloaded in (False, True):
+            driver = Driver(replace(SLOW_START_SETTINGS, gateways=2), endpoints=0)
             driver.list_endpoints(Endpoint(1, started_us=driver.now_us))
             for request_class in driver.classes:
                 request_class.unloaded_us, request_class.smoothed_us = (
                     10_000.0,
-                    500_000.0 if jammed else 20_000.0,
+                    500_000.0 if overloaded else 20_000.0,
                 )
-            count = 0
+            sent_count = 0
             for _ in range(200):
-                name, actions = driver.arrive(**({"work_us": hint} if hint else {}))
+                request_id, actions = driver.start_request(
+                    **({"work_us": work_hint_us} if work_hint_us else {})
+                )
                 if sends(actions):
-                    count += 1
-                    driver.end(name, 1, Outcome.ERROR if jammed else Outcome.OK)
+                    sent_count += 1
+                    driver.end_attempt(request_id, 1, Outcome.ERROR if overloaded else Outcome.OK)
                     endpoint = driver.endpoints[1]
                     endpoint.breakers.retire()
                     endpoint.breakers = EndpointBreakers(driver.balancer.breakers)
                 driver.now_us += 10_000
-            sent.append(count)
-    assert sent[1] >= sent[0] * 0.9
-    assert sent[3] >= sent[2] * 0.9
+            sent_counts.append(sent_count)
+    assert sent_counts[1] >= sent_counts[0] * 0.9
+    assert sent_counts[3] >= sent_counts[2] * 0.9
--- a/tests/decisions/test_slow_start_fleet.py
+++ b/tests/decisions/test_slow_start_fleet.py
@@ -15,7 +15,7 @@
 from load_balancer.decisions.settings import Idempotency, RequestClass, Settings
 from tests.decisions.driver import START_US
 
-COLD_ID = 1
+STARTING_ENDPOINT_ID = 1
 WORK_US = 60_000  # of a request on one core, as its hint tells where there is one
 SETTINGS = Settings(
     (
@@ -31,52 +31,56 @@
 )
 
 
-def first_told_us(gateway: int, gateways: int) -> int:
+def list_received_us(gateway: int, gateways: int) -> int:
     """Lists reach the gateways one after another, over a second."""
     return START_US + 1_000_000 * gateway // gateways
 
 
-def sent_to_the_cold_one(gateways: int, endpoints: int, hint: int | None, bursts_us: range) -> list[int]:
+def send_times_us(gateways: int, endpoints: int, work_hint_us: int | None, bursts_us: range) -> list[int]:
     """When each request was sent to the cold endpoint: it starts, all are notified, all are asked at once."""
-    fleet = []
+    balancers = []
     for gateway in range(gateways):
-        own = replace(SETTINGS, gateways=gateways, gateway_index=gateway)
-        fleet.append(Balancer(own, seed=gateway))
-    for gateway, balancer in enumerate(fleet):
-        entries = [Endpoint(COLD_ID, started_us=START_US)]
-        entries += [Endpoint(COLD_ID + n, weight=1e-9) for n in range(1, endpoints)]  # hardly ever drawn
+        gateway_settings = replace(SETTINGS, gateways=gateways, gateway_index=gateway)
+        balancers.append(Balancer(gateway_settings, seed=gateway))
+    for gateway, balancer in enumerate(balancers):
+        entries = [Endpoint(STARTING_ENDPOINT_ID, started_us=START_US)]
+        entries += [
+            Endpoint(STARTING_ENDPOINT_ID + n, weight=1e-9) for n in range(1, endpoints)
+        ]  # hardly ever drawn
         balancer.handle(
-            first_told_us(gateway, gateways), EndpointListReceived(ListKind.COMPLETE, tuple(entries))
+            list_received_us(gateway, gateways), EndpointListReceived(ListKind.COMPLETE, tuple(entries))
         )
     sent_us: list[int] = []
-    for at_us in bursts_us:
-        for gateway, balancer in enumerate(fleet):
+    for burst_us in bursts_us:
+        for gateway, balancer in enumerate(balancers):
             for n in range(2):
-                now_us = max(START_US + at_us, first_told_us(gateway, gateways))
-                name = f"{at_us}-{n}"
-                actions = balancer.handle(now_us, RequestArrived(name, 0, 1_000_000, work_us=hint))
+                now_us = max(START_US + burst_us, list_received_us(gateway, gateways))
+                request_id = f"{burst_us}-{n}"
+                actions = balancer.handle(
+                    now_us, RequestArrived(request_id, 0, 1_000_000, work_us=work_hint_us)
+                )
                 for send in (action for action in actions if isinstance(action, Send)):
-                    sent_us += [now_us] * (send.endpoint_id == COLD_ID)
-                    end = AttemptEnded(name, 0, send.endpoint_id, Outcome.OK, WORK_US, finished=True)
+                    sent_us += [now_us] * (send.endpoint_id == STARTING_ENDPOINT_ID)
+                    end = AttemptEnded(request_id, 0, send.endpoint_id, Outcome.OK, WORK_US, finished=True)
                     balancer.handle(now_us, end)
     return sorted(sent_us)
 
 
-@pytest.mark.parametrize("hint", [None, WORK_US])
+@pytest.mark.parametrize("work_hint_us", [None, WORK_US])
 @pytest.mark.parametrize("bursts", [range(0, 23_000_000, 1_000_000), range(8_000_000, 23_000_000, 7_000_000)])
 @pytest.mark.parametrize(("gateways", "endpoints"), [(20, 10), (30, 4), (200, 60), (490, 10)])
 def test_all_gateways_together_keep_to_an_endpoints_slow_start_budget(
-    gateways: int, endpoints: int, bursts: range, hint: int | None
+    gateways: int, endpoints: int, bursts: range, work_hint_us: int | None
 ) -> None:
     """Each may always send its first request, whatever the budget; these firsts must not come together."""
-    sent_us = sent_to_the_cold_one(gateways, endpoints, hint, bursts)
+    sent_us = send_times_us(gateways, endpoints, work_hint_us, bursts)
     assert sent_us, "the ramp lets nothing through"
     for index, first_us in enumerate(sent_us):
-        share = (
+        capacity = (
             SETTINGS.slow_start_capacity
             + (1 - SETTINGS.slow_start_capacity) * (first_us - START_US) / 23_000_000
         )
-        allowed = SETTINGS.overload_multiple * share * SETTINGS.overload_window_us / WORK_US
+        allowed = SETTINGS.overload_multiple * capacity * SETTINGS.overload_window_us / WORK_US
         count = bisect_left(sent_us, first_us + SETTINGS.overload_window_us) - index
         assert (
             count <= allowed + 2 * math.sqrt(allowed) + 2
--- a/tests/decisions/test_sparse_state.py
+++ b/tests/decisions/test_sparse_state.py
@@ -51,8 +51,8 @@
     driver = Driver(replace(SETTINGS, tenants=(Tenant(quota_per_s=9.0),) * 50), endpoints=40)
     assert sum(len(s.breakers) for s in driver.endpoints.values()) == 0
     for tenant in (3, 7):
-        name, actions = driver.arrive(tenant=tenant)
-        driver.end(name, sends(actions)[0].endpoint_id)
+        request_id, actions = driver.start_request(tenant=tenant)
+        driver.end_attempt(request_id, sends(actions)[0].endpoint_id)
     assert sum(len(s.breakers) for s in driver.endpoints.values()) <= 4
     assert list(driver.balancer.quotas.left_by_tenant) == [3, 7]
     assert len(driver.balancer.demand.within_quota) == 1
@@ -61,12 +61,12 @@
 def test_expired_breakers_and_full_quotas_are_removed() -> None:
     driver = Driver(replace(SETTINGS, tenants=(Tenant(quota_per_s=9.0),) * 50), endpoints=4)
     for n in range(400):
-        name, actions = driver.arrive(tenant=n % 50, request_class=n % 3)
-        driver.end(name, sends(actions)[0].endpoint_id, Outcome.OK)
+        request_id, actions = driver.start_request(tenant=n % 50, request_class=n % 3)
+        driver.end_attempt(request_id, sends(actions)[0].endpoint_id, Outcome.OK)
     trip(driver.endpoints[2].breakers[5], driver.now_us)
     assert len(driver.balancer.breakers.closed) > 100
     driver.now_us += BREAKER_EXPIRY_US + 1
-    driver.arrive()
+    driver.start_request()
     assert not driver.balancer.breakers.closed
     assert not driver.balancer.breakers.totals
     assert [len(s.breakers) for s in driver.endpoints.values()] == [0, 0, 1, 0]
@@ -81,10 +81,10 @@
 def test_outcomes_count_until_the_breaker_expires(later_us: int, state: BreakerState) -> None:
     driver = Driver(endpoints=1)
     for n in range(5):
-        name, _ = driver.arrive(request_class=2)
+        request_id, _ = driver.start_request(request_class=2)
         if n == 4:
             driver.now_us += later_us
-        driver.end(name, 0, Outcome.ERROR)
+        driver.end_attempt(request_id, 0, Outcome.ERROR)
     assert driver.endpoints[0].breakers[0].state is state
 
 
@@ -95,23 +95,23 @@
     """Expired outcomes must not decide whether failures are confined to one tenant."""
     driver = Driver(replace(SETTINGS, tenants=(Tenant(), Tenant())), endpoints=1)
     for _ in range(RING_SIZE):
-        name, _ = driver.arrive(tenant=1)
-        driver.end(name, 0)
+        request_id, _ = driver.start_request(tenant=1)
+        driver.end_attempt(request_id, 0)
     driver.now_us += later_us
     weights = []
     for _ in range(4):
-        name, _ = driver.arrive(request_class=2, tenant=0)
-        driver.end(name, 0, Outcome.ERROR)
+        request_id, _ = driver.start_request(request_class=2, tenant=0)
+        driver.end_attempt(request_id, 0, Outcome.ERROR)
         weights.append(driver.endpoints[0].weight)
     assert (weights[3] == weights[1]) is is_confined
 
 
 def test_demand_of_a_class_without_requests_is_forgotten() -> None:
     driver = Driver(endpoints=2)
-    driver.arrive(request_class=1)
+    driver.start_request(request_class=1)
     for n in range(8 * DEMAND_MEMORY_REQUESTS):
         assert driver.balancer.demand.total <= DEMAND_MEMORY_REQUESTS
-        driver.arrive(request_class=0)
+        driver.start_request(request_class=0)
         driver.handle(ClientDisconnected(f"r{n + 1}"))
     assert list(driver.balancer.demand.within_quota) == [0]
 
@@ -120,9 +120,9 @@
     """Count the function calls while events are handled: a measure of work that needs no clock."""
     count = 0
 
-    def count_call(_frame: FrameType, what: str, _arg: object) -> None:
+    def count_call(_frame: FrameType, profile_event: str, _arg: object) -> None:
         nonlocal count
-        count += what in ("call", "c_call")
+        count += profile_event in ("call", "c_call")
 
     sys.setprofile(count_call)
     try:
@@ -135,21 +135,25 @@
 
 def calls_per_event(endpoints: int, classes: int, tenants: int, shed: bool) -> tuple[float, float]:
     """Mean calls for a request with its outcome, and calls for a restart in the list."""
-    sizes = Settings((replace(SETTINGS.classes[0]),) * classes, tenants=(Tenant(99.0),) * tenants)
-    balancer = Balancer(sizes, 1)
-    listed = tuple(Endpoint(n) for n in range(endpoints))
-    balancer.handle(START_US, EndpointListReceived(ListKind.COMPLETE, listed))
+    settings = Settings((replace(SETTINGS.classes[0]),) * classes, tenants=(Tenant(99.0),) * tenants)
+    balancer = Balancer(settings, 1)
+    entries = tuple(Endpoint(n) for n in range(endpoints))
+    balancer.handle(START_US, EndpointListReceived(ListKind.COMPLETE, entries))
     total = 0
     for n in range(300):
         if shed:
             balancer.admission.load_shed_share = MAX_SHED_SHARE if n % 2 else MIN_WEIGHT
-        now_us, name = START_US + n * 5_000, f"r{n}"
+        now_us, request_id = START_US + n * 5_000, f"r{n}"
         request_class, tenant = n * 7 % classes, n * 5 % tenants
-        total += count_calls(balancer, now_us, RequestArrived(name, request_class, 400_000, tenant=tenant))
-        if name in balancer.lifecycle.requests:
+        total += count_calls(
+            balancer, now_us, RequestArrived(request_id, request_class, 400_000, tenant=tenant)
+        )
+        if request_id in balancer.lifecycle.requests:
             outcome = Outcome.OK if n % 9 else Outcome.ERROR
-            endpoint = next(iter(balancer.lifecycle.requests[name].attempts)).endpoint.endpoint.id
-            total += count_calls(balancer, now_us, AttemptEnded(name, 0, endpoint, outcome, 9_000, True))
+            endpoint = next(iter(balancer.lifecycle.requests[request_id].attempts)).endpoint.endpoint.id
+            total += count_calls(
+                balancer, now_us, AttemptEnded(request_id, 0, endpoint, outcome, 9_000, True)
+            )
     restart = EndpointListReceived(ListKind.DELTA, (Endpoint(0, started_us=START_US),))
     return total / 300, float(count_calls(balancer, START_US + 2_000_000, restart))
 
--- a/tests/decisions/test_weight_controller.py
+++ b/tests/decisions/test_weight_controller.py
@@ -26,19 +26,19 @@
     driver = Driver(endpoints=1)
     endpoint = driver.endpoints[0]
     endpoint.weight = 0.5
-    name, _ = driver.arrive()
-    driver.end(name, 0)
+    request_id, _ = driver.start_request()
+    driver.end_attempt(request_id, 0)
     assert endpoint.weight == 0.5 + WEIGHT_INCREASE
-    name, _ = driver.arrive(request_class=2)
-    driver.end(name, 0, Outcome.ERROR)
+    request_id, _ = driver.start_request(request_class=2)
+    driver.end_attempt(request_id, 0, Outcome.ERROR)
     assert endpoint.weight == (0.5 + WEIGHT_INCREASE) * WEIGHT_DECREASE_FACTOR
 
 
 def test_an_answer_over_twice_the_smoothed_latency_lowers_the_weight() -> None:
     driver = Driver(endpoints=1)
     endpoint = driver.endpoints[0]
-    name, _ = driver.arrive()
-    driver.end(name, 0, latency_us=int(driver.classes[0].smoothed_us * 2.2))
+    request_id, _ = driver.start_request()
+    driver.end_attempt(request_id, 0, latency_us=int(driver.classes[0].smoothed_us * 2.2))
     assert endpoint.weight == MAX_WEIGHT * WEIGHT_DECREASE_FACTOR
 
 
@@ -61,20 +61,20 @@
     assert driver.endpoints[9].weight == 0.4
 
 
-def test_an_endpoint_has_its_old_weight_once_its_breaker_closes() -> None:
+def test_an_endpoint_has_its_former_weight_once_its_breaker_closes() -> None:
     driver = Driver(endpoints=1)
     endpoint = driver.endpoints[0]
     for _ in range(MINIMUM_OUTCOMES):
-        name, actions = driver.arrive(request_class=2)
+        request_id, actions = driver.start_request(request_class=2)
         assert sends(actions)
-        driver.end(name, 0, Outcome.ERROR)
+        driver.end_attempt(request_id, 0, Outcome.ERROR)
     assert endpoint.breakers[0].state is BreakerState.OPEN
     weight = endpoint.weight
     driver.now_us += INITIAL_COOLDOWN_US
     for _ in range(HALF_OPEN_TRIALS):
-        name, actions = driver.arrive()
+        request_id, actions = driver.start_request()
         assert sends(actions)
-        driver.end(name, 0)
+        driver.end_attempt(request_id, 0)
     assert endpoint.breakers[0].state.value == "closed"
     assert endpoint.weight == max(MIN_WEIGHT, weight)
 
@@ -83,11 +83,11 @@
     """Late outcomes and failed trials cut the weight that a recovering endpoint was to come back with."""
     driver = Driver(endpoints=1)
     endpoint = driver.endpoints[0]
-    names = [driver.arrive(request_class=2)[0] for _ in range(2)]
+    request_ids = [driver.start_request(request_class=2)[0] for _ in range(2)]
     trip(endpoint.breakers[0], driver.now_us)
     weight = endpoint.weight
-    driver.end(names[0], 0, Outcome.ERROR)  # sent before the trip
+    driver.end_attempt(request_ids[0], 0, Outcome.ERROR)  # sent before the trip
     assert endpoint.weight == weight
     driver.now_us = endpoint.breakers[0].open_until_us
-    driver.end(names[1], 0, Outcome.ERROR)
+    driver.end_attempt(request_ids[1], 0, Outcome.ERROR)
     assert endpoint.weight == weight
--- a/tests/test_decision_transcripts.py
+++ b/tests/test_decision_transcripts.py
@@ -10,12 +10,18 @@
 
 import pytest
 
-from tests.decision_transcripts import LIMIT_CONSTANT, MismatchError, load, recorded, replay
+from tests.decision_transcripts import (
+    CHANGED_CONSTANT,
+    MismatchError,
+    load_transcript,
+    replay,
+    transcript_paths,
+)
 from tests.transcript_simulation.days import DAYS
-from tests.transcript_simulation.wire import LOG, MARK, Json
+from tests.transcript_simulation.wire import ACTION_PREFIX, LOG_PREFIX, Json
 
 NAMES = [day.name for day in DAYS]
-PATHS = recorded()
+PATHS = transcript_paths()
 # The balancer never emits `snapshot`, `ask_load`, `hang_up` and `broadcast_to`.
 ACTIONS = ("pass_on", "notify_me", "bounce", "surrender", "retract", "track")
 EVENTS = ("incoming", "dropped", "streaming", "reminder", "pong", "inbox", "settings")
@@ -26,39 +32,39 @@
 
 def fields_of(lines: list[str], name: str) -> list[dict[str, str]]:
     """The fields of all lines of one name."""
-    found = [line for line in lines if line.startswith(f"{name} ")]
-    return [dict(part.split("=", 1) for part in line.split()[1:]) for line in found]
+    matching = [line for line in lines if line.startswith(f"{name} ")]
+    return [dict(part.split("=", 1) for part in line.split()[1:]) for line in matching]
 
 
 @cache
-def logged(path: Path) -> tuple[str, ...]:
+def replay_log(path: Path) -> tuple[str, ...]:
     """The log lines of a replay in which every action was as recorded; a MismatchError is not kept."""
-    return tuple(replay(load(path)))
+    return tuple(replay(load_transcript(path)))
 
 
 def all_lines() -> list[str]:
     """The lines of all transcripts."""
-    return [line for path in PATHS for line in load(path)]
+    return [line for path in PATHS for line in load_transcript(path)]
 
 
 def settings_of(path: Path) -> list[Json]:
     """A transcript's settings, in the order in which they were in force."""
-    lines = load(path)
+    lines = load_transcript(path)
     first = json.loads(lines[0].partition(" bootInfo=")[2])
     changes = [line.removeprefix("settings ") for line in lines if line.startswith("settings ")]
     return [first, *map(json.loads, changes)]
 
 
-def changes_between(before: Json, after: Json) -> list[str]:
+def changes_between(current: Json, changed: Json) -> list[str]:
     """What one change of the settings did, in words to count."""
-    found: list[str] = []
+    changes: list[str] = []
     for kind in ("lanes", "tenants"):
-        old = {each["name"]: each for each in before.get(kind, [])}
-        new = {each["name"]: each for each in after.get(kind, [])}
-        found += [f"{kind} added"] if new.keys() - old.keys() else []
-        found += [f"{kind} removed"] if old.keys() - new.keys() else []
-        found += [f"{kind} changed"] if any(old[n] != new[n] for n in old.keys() & new.keys()) else []
-    return found + (["prices changed"] if before.get("prices") != after.get("prices") else [])
+        old = {each["name"]: each for each in current.get(kind, [])}
+        new = {each["name"]: each for each in changed.get(kind, [])}
+        changes += [f"{kind} added"] if new.keys() - old.keys() else []
+        changes += [f"{kind} removed"] if old.keys() - new.keys() else []
+        changes += [f"{kind} changed"] if any(old[n] != new[n] for n in old.keys() & new.keys()) else []
+    return changes + (["prices changed"] if current.get("prices") != changed.get("prices") else [])
 
 
 def test_every_day_has_its_transcript() -> None:
@@ -67,17 +73,19 @@
 
 @pytest.mark.parametrize("path", PATHS, ids=lambda path: path.name)
 def test_decisions_are_as_recorded(path: Path) -> None:
-    logged(path)
+    replay_log(path)
 
 
 def test_transcripts_hold_every_kind_of_event_and_action() -> None:
     lines = all_lines()
-    names = Counter(line.split(" ", 1)[0] for line in lines if not line.startswith(MARK))
-    actions = Counter(line.split(" ")[1] for line in lines if line.startswith(MARK))
-    assert set(actions) == set(ACTIONS)
-    assert all(actions[name] >= 20 for name in ACTIONS)
-    assert all(names[name] >= 20 for name in EVENTS)
-    assert MARK + LOG.strip() not in {line[: len(MARK + LOG) - 1] for line in lines}
+    event_counts = Counter(line.split(" ", 1)[0] for line in lines if not line.startswith(ACTION_PREFIX))
+    action_counts = Counter(line.split(" ")[1] for line in lines if line.startswith(ACTION_PREFIX))
+    assert set(action_counts) == set(ACTIONS)
+    assert all(action_counts[name] >= 20 for name in ACTIONS)
+    assert all(event_counts[name] >= 20 for name in EVENTS)
+    assert ACTION_PREFIX + LOG_PREFIX.strip() not in {
+        line[: len(ACTION_PREFIX + LOG_PREFIX) - 1] for line in lines
+    }
 
 
 def test_transcripts_hold_every_outcome_and_list_event() -> None:
@@ -106,30 +114,30 @@
     """A request that is refused without any attempt, as the very first answer to its arrival."""
     lines = all_lines()
     pairs = pairwise(lines)
-    refused = sum(a.startswith("incoming ") and b.startswith(f"{MARK}bounce ") for a, b in pairs)
-    assert refused >= 500
+    rejected = sum(a.startswith("incoming ") and b.startswith(f"{ACTION_PREFIX}bounce ") for a, b in pairs)
+    assert rejected >= 500
 
 
 def test_transcripts_hold_breakers_that_open_and_close() -> None:
     """One closes only from half-open, and a cooldown is doubled only where one opens from half-open."""
-    log = [line for path in PATHS for line in logged(path) if "circuit_breaker.changed" in line]
-    assert sum("state=open" in line for line in log) >= 20
-    assert sum("state=closed" in line for line in log) >= 10
-    assert sum("cooldown_s=2.0" in line for line in log) >= 3
-    assert sum("request_class=" in line for line in log) >= 1
+    log_lines = [line for path in PATHS for line in replay_log(path) if "circuit_breaker.changed" in line]
+    assert sum("state=open" in line for line in log_lines) >= 20
+    assert sum("state=closed" in line for line in log_lines) >= 10
+    assert sum("cooldown_s=2.0" in line for line in log_lines) >= 3
+    assert sum("request_class=" in line for line in log_lines) >= 1
 
 
 def difference(path: Path) -> str:
     """Return how the replay of a transcript differs from it, empty if it does not."""
     try:
-        replay(load(path))
+        replay(load_transcript(path))
     except MismatchError as error:
         return str(error)
     return ""
 
 
 def test_a_small_change_of_a_constant_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    module, name = LIMIT_CONSTANT
+    module, name = CHANGED_CONSTANT
     monkeypatch.setattr(module, name, 2.9)
     differences = [difference(path) for path in PATHS]
     noticed = [text for text in differences if text]
@@ -138,9 +146,9 @@
 
 
 def test_a_changed_line_is_named_by_its_batch() -> None:
-    lines = load(PATHS[0])
-    place = next(n for n, line in enumerate(lines) if line.startswith(f"{MARK}pass_on "))
-    batch = sum(line.startswith("begin_batch ") for line in lines[:place])
-    lines[place] += "0"
+    lines = load_transcript(PATHS[0])
+    index = next(n for n, line in enumerate(lines) if line.startswith(f"{ACTION_PREFIX}pass_on "))
+    batch = sum(line.startswith("begin_batch ") for line in lines[:index])
+    lines[index] += "0"
     with pytest.raises(MismatchError, match=rf"^batch {batch} at \d+ us, after 'incoming "):
         replay(lines)
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -11,7 +11,7 @@
 ROOT = Path(__file__).parent.parent
 PACKAGE = ROOT / "load_balancer"
 DECISIONS = sorted((PACKAGE / "decisions").glob("*.py"))
-INPUT_AND_OUTPUT = {"asyncio", "os", "select", "signal", "socket", "subprocess", "sys", "threading", "time"}
+IO_MODULES = {"asyncio", "os", "select", "signal", "socket", "subprocess", "sys", "threading", "time"}
 
 
 def imported_modules(path: Path) -> set[str]:
@@ -35,33 +35,35 @@
 
 
 @pytest.mark.parametrize("path", DECISIONS, ids=lambda path: path.stem)
-def test_decisions_import_the_standard_library_and_each_other_alone(path: Path) -> None:
+def test_decisions_import_only_the_standard_library_and_each_other(path: Path) -> None:
     names = imported_modules(path)
-    own = {name for name in names if name.startswith("load_balancer")}
-    assert all(name.startswith(("load_balancer.decisions.", "load_balancer.errors")) for name in own)
-    others = {name.partition(".")[0] for name in names - own}
-    assert others <= sys.stdlib_module_names
-    assert not others & INPUT_AND_OUTPUT
+    package_imports = {name for name in names if name.startswith("load_balancer")}
+    assert all(
+        name.startswith(("load_balancer.decisions.", "load_balancer.errors")) for name in package_imports
+    )
+    other_imports = {name.partition(".")[0] for name in names - package_imports}
+    assert other_imports <= sys.stdlib_module_names
+    assert not other_imports & IO_MODULES
 
 
 MAX_MODULE_LINES = 300
 MODULES = sorted(PACKAGE.rglob("*.py"))
-SHARED = {"errors", "load_report_format"}  # modules that every part may import
-PARTS_BELOW = {
+SHARED_MODULES = {"errors", "load_report_format"}  # modules that every part may import
+ALLOWED_IMPORTS = {
     "decisions": {"errors"},
-    "config": SHARED | {"decisions"},
-    "gateway": SHARED | {"decisions", "config"},
-    "simulator": SHARED | {"decisions", "config"},
+    "config": SHARED_MODULES | {"decisions"},
+    "gateway": SHARED_MODULES | {"decisions", "config"},
+    "simulator": SHARED_MODULES | {"decisions", "config"},
 }
 
 
-@pytest.mark.parametrize("part", PARTS_BELOW)
-def test_a_part_imports_itself_and_the_parts_below_it_alone(part: str) -> None:
-    paths = sorted((PACKAGE / part).glob("*.py"))
+@pytest.mark.parametrize("subpackage", ALLOWED_IMPORTS)
+def test_a_subpackage_imports_only_itself_and_those_below_it(subpackage: str) -> None:
+    paths = sorted((PACKAGE / subpackage).glob("*.py"))
     assert paths
     for path in paths:
-        own = {name for name in imported_modules(path) if name.startswith("load_balancer.")}
-        assert {name.split(".")[1] for name in own} <= PARTS_BELOW[part] | {part}
+        package_imports = {name for name in imported_modules(path) if name.startswith("load_balancer.")}
+        assert {name.split(".")[1] for name in package_imports} <= ALLOWED_IMPORTS[subpackage] | {subpackage}
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: str(path.relative_to(PACKAGE)))
@@ -70,7 +72,7 @@
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: str(path.relative_to(PACKAGE)))
-def test_a_module_stays_short_enough_to_read(path: Path) -> None:
+def test_a_module_stays_within_the_line_limit(path: Path) -> None:
     assert len(path.read_text().splitlines()) <= MAX_MODULE_LINES
 
 
@@ -80,7 +82,7 @@
 
 
 @pytest.mark.parametrize("package", ["load_balancer", "lab"])
-def test_no_module_imports_itself_by_way_of_others(package: str) -> None:
+def test_imports_form_no_cycle(package: str) -> None:
     sources = {module_name(path): path for path in (ROOT / package).rglob("*.py")}
     order = TopologicalSorter({name: imported_modules(path) - {name} for name, path in sources.items()})
     order.prepare()  # raises CycleError, which names the modules
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -6,12 +6,12 @@
 from load_balancer.decisions.actions import Send
 
 
-def test_the_example_runs() -> None:
+def test_the_readme_example_runs() -> None:
     text = (Path(__file__).parent.parent / "README.md").read_text()
     (code,) = re.findall(r"```python\n(.*?)```", text, flags=re.S)
-    names: dict[str, object] = {}
-    exec(code, names)
-    send = names["send"]
+    namespace: dict[str, object] = {}
+    exec(code, namespace)
+    send = namespace["send"]
     assert isinstance(send, Send)
     assert send.endpoint_id in (1, 2)
-    assert not names["balancer"].lifecycle.requests  # type: ignore[attr-defined]
+    assert not namespace["balancer"].lifecycle.requests  # type: ignore[attr-defined]
--- a/tests/transcript_simulation/days.py
+++ b/tests/transcript_simulation/days.py
@@ -4,26 +4,28 @@
 
 from dataclasses import dataclass
 
-from tests.transcript_simulation.wire import SECOND, Json
+from tests.transcript_simulation.wire import SECOND_US, Json
 
-END_US = 40 * SECOND  # of the traffic of each day
-PAUSE_US = 63 * SECOND  # without any traffic: longer than a closed breaker's outcomes count
-RESUMED_US = 6 * SECOND  # of traffic after the pause
+TRAFFIC_END_US = 40 * SECOND_US  # of the traffic of each day
+TRAFFIC_PAUSE_US = 63 * SECOND_US  # without any traffic: longer than a closed breaker's outcomes count
+RESUMED_TRAFFIC_US = 6 * SECOND_US  # of traffic after the pause
 
 
-def request_class(name: str, aim_ms: int, **more: object) -> Json:
+def request_class(name: str, objective_ms: int, **settings: object) -> Json:
     """A request class on the wire; the client's timeout is five times the latency objective."""
-    return {"name": name, "aimUs": aim_ms * 1000, "giveUpUs": aim_ms * 5000, **more}
+    return {"name": name, "aimUs": objective_ms * 1000, "giveUpUs": objective_ms * 5000, **settings}
 
 
 REQUEST_CLASSES: list[Json] = [
     request_class("read", 300, effect="free", value=1.0, lateValue=0.3),
     request_class("search", 500, effect="free", value=2.0),
-    request_class("order", 400, effect="guarded", group="all", windowUs=5 * SECOND, value=3.0, lateValue=0.2),
     request_class(
-        "stock", 350, effect="guarded", group="zone", windowUs=2 * SECOND, value=1.5, lateValue=0.5
+        "order", 400, effect="guarded", group="all", windowUs=5 * SECOND_US, value=3.0, lateValue=0.2
     ),
-    request_class("cart", 300, effect="guarded", group="cell", windowUs=SECOND, value=1.2, lateValue=0.4),
+    request_class(
+        "stock", 350, effect="guarded", group="zone", windowUs=2 * SECOND_US, value=1.5, lateValue=0.5
+    ),
+    request_class("cart", 300, effect="guarded", group="cell", windowUs=SECOND_US, value=1.2, lateValue=0.4),
     request_class("stale", 300, effect="guarded", group="zone", windowUs=20_000, value=0.7, lateValue=0.8),
     request_class("pay", 600, effect="single_shot", value=5.0, lateValue=0.1),
     request_class("ledger", 400, effect="single_shot", sequential=1, value=2.5, lateValue=0.5),
@@ -48,10 +50,10 @@
     request_classes: tuple[str, ...]
     settings: Json
     rates_per_s: tuple[float, ...]  # of first tries, each for an equal part of the day
-    tenants: bool = True
-    calm: bool = False  # endpoints seldom change their behaviour
-    outage_us: int | None = None  # when all endpoints begin to fail
-    rare: str = ""  # a class that is asked for at the beginning only
+    has_tenants: bool = True
+    has_few_faults: bool = False  # endpoints seldom change their behaviour
+    outage_at_us: int | None = None  # when all endpoints begin to fail
+    rare_class: str = ""  # a class that is asked for at the beginning only
 
 
 def class_names(names: str) -> tuple[str, ...]:
@@ -72,7 +74,7 @@
             "report": {"how": "piggyback", "fields": FIELDS},
             "balancers": 2,
             "overShareWorth": 0.3,
-            "contract": {"startCapacity": 0.2, "warmAfterUs": 8 * SECOND, "tipMultiple": 1.5},
+            "contract": {"startCapacity": 0.2, "warmAfterUs": 8 * SECOND_US, "tipMultiple": 1.5},
         },
         rates_per_s=(15, 40, 130, 25, 90, 20),
     ),
@@ -90,10 +92,10 @@
             "index": 1,
             "objectiveMix": {"whole": 0.6, "worstWindow": 0.1, "worstClass": 0.3},
             "clients": {"marksRetry": 1},
-            "contract": {"mustAskInUs": 4 * SECOND, "fullUnproven": 1, "keyQuietUs": 150_000},
+            "contract": {"mustAskInUs": 4 * SECOND_US, "fullUnproven": 1, "keyQuietUs": 150_000},
         },
         rates_per_s=(20, 60, 140, 30, 100, 15),
-        rare="search",
+        rare_class="search",
     ),
     Day(
         name="moves",
@@ -105,7 +107,7 @@
             "report": {"how": "piggyback", "fields": FIELDS},
             "contract": {
                 "startCapacity": 0.1,
-                "warmAfterUs": 15 * SECOND,
+                "warmAfterUs": 15 * SECOND_US,
                 "tipMultiple": 2.0,
                 "keyQuietUs": 0,
             },
@@ -113,8 +115,8 @@
             "zone": 1,
         },
         rates_per_s=(15, 30, 45, 20, 80, 25),
-        tenants=False,
-        outage_us=13 * SECOND,
+        has_tenants=False,
+        outage_at_us=13 * SECOND_US,
     ),
     Day(
         name="churn",
@@ -126,10 +128,10 @@
             "prices": {"crossZone": 0.01},
             "balancers": 8,
             "index": 5,
-            "contract": {"startCapacity": 0.3, "warmAfterUs": 5 * SECOND, "keyQuietUs": 80_000},
+            "contract": {"startCapacity": 0.3, "warmAfterUs": 5 * SECOND_US, "keyQuietUs": 80_000},
             "objectiveMix": {"whole": 0.5, "worstClass": 0.5},
         },
         rates_per_s=(20, 50, 60, 20, 70, 20),
-        calm=True,
+        has_few_faults=True,
     ),
 )
