--- a/tests/gateway/test_reload.py
+++ b/tests/gateway/test_reload.py
@@ -265,7 +265,7 @@
         assert balancer.demand.within_quota.keys() <= classes.by_id.keys()
         assert not instance.gateway.proxy.request_tracker.pending
         assert not balancer.lifecycle.requests
-        assert classes[1].answers == 60
+        assert classes[1].answer_count == 60
 
 
 async def test_the_heap_is_trimmed_after_each_reading(
