--- a/tests/gateway/process_helpers.py
+++ b/tests/gateway/process_helpers.py
@@ -8,8 +8,8 @@
 import socket
 import subprocess
 import sys
-from collections.abc import AsyncIterator
-from contextlib import asynccontextmanager
+from collections.abc import AsyncIterator, Iterator
+from contextlib import asynccontextmanager, contextmanager
 from pathlib import Path
 
 from tests.gateway.configurations import configuration
@@ -57,6 +57,18 @@
     assert await client.is_closed()
 
 
+@contextmanager
+def reserved_port() -> Iterator[int]:
+    """Reserve a port for a listener that sets SO_REUSEADDR.
+
+    The socket is bound and never listens, so that the system gives the port to no other process.
+    """
+    with socket.socket() as reservation:
+        reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        reservation.bind(("127.0.0.1", 0))
+        yield reservation.getsockname()[1]
+
+
 @asynccontextmanager
 async def process(
     endpoint: StubEndpoint, tmp_path: Path, sockets: int = 1024, **environ: str
@@ -64,20 +76,19 @@
     discovery = StubDiscovery()
     await endpoint.start()
     await discovery.start()
-    with socket.create_server(("127.0.0.1", 0)) as free:
-        port = free.getsockname()[1]
-    path = tmp_path / "config.json"
-    listen, limits = f"127.0.0.1:{port}", {"sockets": sockets}
-    raw = configuration({"h0": endpoint.address}, discovery.address, listen=listen, limits=limits)
-    path.write_text(json.dumps(raw))
-    child, stderr = await start_process(path, **environ)
-    try:
-        while b"listens" not in (line := await stderr.readline()):
-            assert b"discovery: no connection" in line or b"could not be read" in line
-        yield child, port
-    finally:
-        if child.returncode is None:
-            child.kill()
-        await child.wait()
-        endpoint.stop()
-        discovery.stop()
+    with reserved_port() as port:
+        path = tmp_path / "config.json"
+        listen, limits = f"127.0.0.1:{port}", {"sockets": sockets}
+        raw = configuration({"h0": endpoint.address}, discovery.address, listen=listen, limits=limits)
+        path.write_text(json.dumps(raw))
+        child, stderr = await start_process(path, **environ)
+        try:
+            while b"listens" not in (line := await stderr.readline()):
+                assert b"discovery: no connection" in line or b"could not be read" in line, line
+            yield child, port
+        finally:
+            if child.returncode is None:
+                child.kill()
+            await child.wait()
+            endpoint.stop()
+            discovery.stop()
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -15,12 +15,27 @@
 from load_balancer.decisions.events import PeerMessageReceived
 from tests.gateway.configurations import configuration, settings
 from tests.gateway.http_client import HttpClient, encode_request
-from tests.gateway.process_helpers import connect, expect_final_answer, process, start_process
+from tests.gateway.process_helpers import (
+    connect,
+    expect_final_answer,
+    process,
+    reserved_port,
+    start_process,
+)
 from tests.gateway.running_gateway import running_gateway
 from tests.gateway.stub_discovery import StubDiscovery, encode_chunk, endpoint_entry, watch_event
 from tests.gateway.stub_endpoint import StubEndpoint
 
 
+def test_a_reserved_port_is_free_only_for_a_listener_that_reuses_it() -> None:
+    """A port that was released before the gateway bound it went to another process, and the start failed."""
+    with reserved_port() as port:
+        with socket.socket() as other, pytest.raises(OSError, match="in use"):
+            other.bind(("127.0.0.1", port))
+        with socket.create_server(("127.0.0.1", port)) as listener:
+            assert listener.getsockname()[1] == port
+
+
 async def test_sigterm_answers_accepted_requests_and_exits_with_zero(tmp_path: Path) -> None:
     endpoint = StubEndpoint()
     async with process(endpoint, tmp_path) as (child, port):
