--- a/load_balancer/__init__.py
+++ b/load_balancer/__init__.py
@@ -1,4 +1,4 @@
-"""A load balancer for fleets of HTTP servers; this module exports its decisions, which do no I/O."""
+"""A load balancer for fleets of HTTP servers; this module exports its decision logic, which does no I/O."""
 
 from load_balancer.decisions.actions import (
     Action,
--- a/load_balancer/__main__.py
+++ b/load_balancer/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point: runs the gateway, or the command line where there are arguments."""
+"""Entry point: runs a command if there are arguments, and otherwise the gateway."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     """Run the gateway until SIGTERM or SIGINT, and then until every accepted request is answered.
 
     Raises:
-        OSError: If an address that the configuration names cannot be listened on.
+        OSError: The gateway cannot listen on an address of the configuration.
     """
     loop = asyncio.get_running_loop()
     stop_requested = asyncio.Event()
@@ -39,7 +39,7 @@
     loop.add_signal_handler(signal.SIGHUP, reloader.request_reload)
     await proxy.start()
     gc.collect()
-    gc.freeze()  # exempts the cached endpoints, which live as long as the process, from collections
+    gc.freeze()  # exempts the cached endpoints, which live as long as the process, from garbage collection
     trim_heap()
     await client_server.start()
     log_event("gateway.listening", name=config.name, listen=f"{config.listen[0]}:{config.listen[1]}")
@@ -57,7 +57,7 @@
 
 
 def run_gateway() -> int:
-    """Run the gateway that the environment describes; returns the exit code."""
+    """Run the gateway that the environment configures, and return its exit code."""
     _ignore_sighup()
     configure_logging(os.environ)
     try:
@@ -65,12 +65,12 @@
     except ConfigError as error:
         log_event("config.invalid", error=error)
         return EXIT_CONFIG_INVALID
-    gc.freeze()  # exempts imported modules from collections
+    gc.freeze()  # exempts imported modules from garbage collection
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(serve(config))
     except OSError as error:
-        flush()  # write counted repeats before the last line
+        flush()  # logs the counts of repeated events before the last line
         log_event("gateway.start_failed", error=error)
         return EXIT_START_FAILED
     finally:
@@ -79,9 +79,9 @@
 
 
 def main() -> int:
-    """Run a command where there are arguments, and the gateway where there are none."""
+    """Run a command if there are arguments, and otherwise the gateway; return the exit code."""
     if len(sys.argv) > 1:
-        from load_balancer.cli import cli  # keeps click out of a gateway's memory
+        from load_balancer.cli import cli  # not imported by a gateway, to save memory
 
         return int(cli(prog_name="python -m load_balancer") or 0)
     return run_gateway()
--- a/load_balancer/cli.py
+++ b/load_balancer/cli.py
@@ -1,4 +1,4 @@
-"""Commands for operators: check, show and diff of a configuration file. Without arguments a gateway runs."""
+"""Commands that check, show and compare configuration files; none of them starts a gateway."""
 
 from __future__ import annotations
 
@@ -15,32 +15,32 @@
 from load_balancer.config.errors import ConfigError
 from load_balancer.gateway.reload import restart_only_changes
 
-DEFAULT_MAX_ERRORS = 10  # of `check`
-DEFAULT_MAX_LINES = 20  # of `diff`, for each of the long lists
+DEFAULT_MAX_ERRORS = 10  # errors that `check` prints without --most
+DEFAULT_MAX_LINES = 20  # lines per list that `diff` prints without --all
 EXIT_CONFIG_ERROR = 2
 
 CONFIG_FILE = click.Path(dir_okay=False)
 
 
 def exit_with_errors(error: ConfigError) -> NoReturn:
-    """Print a line on standard error for each error, and exit."""
+    """Print each error as a line on standard error, and exit."""
     for message in error.errors:
         print(f"load_balancer: {message}", file=sys.stderr)
     sys.exit(EXIT_CONFIG_ERROR)
 
 
 @click.group(
-    epilog="Without a command, a gateway runs: it reads the file that ROUTER_CONFIG names, serves until "
-    "SIGTERM or SIGINT, answers what it has taken, and ends. ROUTER_NAME, ROUTER_LISTEN and ROUTER_DISCOVERY "
-    "come before what stands in the file. SIGHUP has it read the file again; one that cannot be used changes "
-    "nothing."
+    epilog="Without a command, a gateway runs. It reads the file that ROUTER_CONFIG names, serves until "
+    "SIGTERM or SIGINT, answers the requests it has accepted, and exits. ROUTER_NAME, ROUTER_LISTEN and "
+    "ROUTER_DISCOVERY override the values in the file. On SIGHUP the gateway reads the file again; an "
+    "invalid file changes nothing."
 )
 @click.version_option(__version__, prog_name="load_balancer")
 def cli() -> None:
-    """A gateway that spreads HTTP requests over a fleet of servers.
+    """A gateway that spreads HTTP requests over a fleet of endpoints.
 
-    The commands here look at a configuration file before a gateway is given it; they start nothing and change
-    nothing. Variables named ROUTER_... count as they would for a gateway started here.
+    The commands inspect configuration files; they start nothing and change nothing. The ROUTER_* environment
+    variables apply as they would to a gateway that is started in this environment.
     """
 
 
@@ -52,29 +52,29 @@
     type=click.IntRange(1),
     default=DEFAULT_MAX_ERRORS,
     show_default=True,
-    help="Faults that are named.",
+    help="Maximum number of errors to print.",
 )
 def check(file: str, max_errors: int) -> None:
-    """Say whether a gateway could use FILE.
+    """Check whether FILE is a valid configuration.
 
-    Ends with 0 if so. If not, ends with 2 after one line on standard error for each of the first faults:
-    where it stands, as in settings.lanes[0].aimUs, and what was expected there.
+    Exits with 0 if it is. Otherwise prints the first errors on standard error, one per line, and exits with
+    2. An error consists of a path, such as settings.lanes[0].aimUs, and what was expected there.
     """
     try:
         effective = read_effective_config(file, os.environ, max_errors)
     except ConfigError as error:
         exit_with_errors(error)
     settings = effective.config.settings
-    print(f"{file}: good; {len(settings.classes)} routes, {len(settings.tenants)} tenants")
+    print(f"{file}: valid; {len(settings.classes)} request classes, {len(settings.tenants)} tenants")
 
 
 @cli.command()
 @click.argument("file", type=CONFIG_FILE)
 def show(file: str) -> None:
-    """Print what is in force with FILE, as JSON.
+    """Print FILE as JSON with all defaults filled in.
 
-    Every field that a gateway reads is there, with the default where FILE says nothing; what is not read is
-    left out. The list of known hosts is left out too. The output is a configuration file itself.
+    The output has every field that a gateway reads, with the default where FILE has no value. Unknown fields
+    and the cached endpoint list are left out. The output is a valid configuration file itself.
     """
     try:
         effective = read_effective_config(file, os.environ)
@@ -86,14 +86,16 @@
 @cli.command()
 @click.argument("old", type=CONFIG_FILE)
 @click.argument("new", type=CONFIG_FILE)
-@click.option("--all", "all_lines", is_flag=True, help=f"Name all, not the first {DEFAULT_MAX_LINES}.")
+@click.option(
+    "--all", "all_lines", is_flag=True, help=f"Print all changes, not only {DEFAULT_MAX_LINES} per list."
+)
 def diff(old: str, new: str, all_lines: bool) -> None:
-    """Say what replacing OLD by NEW would do to a gateway.
+    """Print the effects on a gateway of replacing OLD by NEW.
 
-    Names the routes (lanes) and tenants that are added (+), removed (-) or changed (~), with the fields that
-    differ, and whether what the gateway has learnt about each (its state) is kept or starts anew. Then the
-    other settings, what counts only at the next start, and what a running gateway would refuse NEW for. Ends
-    with 2 if either cannot be used.
+    Lists the request classes (lanes) and tenants that are added (+), removed (-) or changed (~), with the
+    fields that differ, and whether the state that the gateway holds for each is kept or reset. Then lists the
+    other changed settings, those applied at the next start only, and those for which a running gateway would
+    reject NEW. Exits with 2 if either file is invalid.
     """
     try:
         old_config = read_effective_config(old, os.environ)
--- a/load_balancer/config/__init__.py
+++ b/load_balancer/config/__init__.py
@@ -1,1 +1,1 @@
-"""Reading of the configuration: models of the JSON file, conversion to settings, and errors."""
+"""Configuration: models of the JSON file, conversion to settings, comparison and errors."""
--- a/load_balancer/config/addresses.py
+++ b/load_balancer/config/addresses.py
@@ -1,4 +1,4 @@
-"""Network addresses as a configuration writes them: `host:port`."""
+"""Network addresses in the form `host:port`."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 Address = tuple[str, int]
 
 MAX_PORT = 65_535
-MAX_SHOWN_LENGTH = 60  # characters of a bad value that an error shows
+MAX_SHOWN_LENGTH = 60  # the maximum number of characters of an invalid value in an error
 
 
 def parse_address(text: object) -> Address:
     """Return the host and the port of `host:port`.
 
     Raises:
-        ConfigError: The value is not text of that form, or the port is above 65535.
+        ConfigError: The value is not a string of that form, or the port is above 65535.
     """
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     is_number = port.isascii() and port.isdigit() and len(port) <= len(str(MAX_PORT))
--- a/load_balancer/config/comparison.py
+++ b/load_balancer/config/comparison.py
@@ -1,4 +1,4 @@
-"""The effects on a running gateway of replacing one configuration by another, as lines of text."""
+"""Describes the effects on a running gateway of replacing one configuration by another."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
     Attributes:
         added: Names that only the new configuration has.
         removed: Names that only the old configuration has.
-        changed: For each name whose fields differ, those fields with both values.
+        changed: The fields that differ with both values, by the name of the item.
         unchanged_count: Number of items that are equal in both.
-        restarted: Names in both whose state starts anew.
+        state_reset: Names in both configurations whose state is reset.
     """
 
     added: tuple[str, ...]
@@ -36,20 +36,20 @@
     state_reset: frozenset[str]
 
     def summary(self, title: str) -> str:
-        """Return one line of counts."""
+        """Return one line with the number of changes of each kind."""
         return (
             f"{title}: {len(self.added)} added, {len(self.removed)} removed, {len(self.changed)} changed, "
-            f"{self.unchanged_count} as before"
+            f"{self.unchanged_count} unchanged"
         )
 
     def details(self) -> Iterator[str]:
-        """Yield a line for each item that is not the same as before."""
+        """Yield a line for each added, removed or changed item."""
         for name in self.added:
             yield f"  + {name}"
         for name in self.removed:
-            yield f"  - {name}: its state is dropped"
+            yield f"  - {name}: its state is discarded"
         for name, fields in self.changed.items():
-            state = "starts anew" if name in self.state_reset else "is kept"
+            state = "is reset" if name in self.state_reset else "is kept"
             yield f"  ~ {name}: {fields}; its state {state}"
 
 
@@ -61,28 +61,31 @@
     Args:
         old: The configuration in force.
         new: The configuration that replaces it.
-        max_lines: Most lines for each of the long lists, without its summary.
-        restart_only: Paths of the settings that differ and that only a new process can change.
+        max_lines: Maximum number of lines for the request classes and for the tenants, without the summary.
+        restart_only: Paths of the settings that differ and can only be changed by a restart.
     """
     old_version = initial_version(old.config.settings)
     new_version = run_to_completion(next_version(old_version, new.config.settings))
     old_settings = dict(old.document["settings"])
     new_settings = dict(new.document["settings"])
-    for title, key, ids in (("routes", CLASSES_KEY, _class_ids), ("tenants", TENANTS_KEY, _tenant_ids)):
+    for title, key, ids in (
+        ("request classes", CLASSES_KEY, _class_ids),
+        ("tenants", TENANTS_KEY, _tenant_ids),
+    ):
         item_changes = _compare_items(
             old_settings.pop(key), new_settings.pop(key), ids(old_version), ids(new_version)
         )
         yield item_changes.summary(title)
         yield from _truncated(list(item_changes.details()), max_lines)
-    yield from _section("other settings, in force at once", _changed_fields(old_settings, new_settings))
+    yield from _section("other settings, applied immediately", _changed_fields(old_settings, new_settings))
     for title, keys in (
-        ("in force at once", APPLIED_IMMEDIATELY),
-        ("only at the next start", APPLIED_AT_START),
+        ("applied immediately", APPLIED_IMMEDIATELY),
+        ("applied at the next start only", APPLIED_AT_START),
     ):
         changes = _changed_fields(_select(old.document, keys), _select(new.document, keys))
         yield from _section(title, changes)
     if restart_only:
-        reason = "refused by a gateway that runs with OLD, as only a new process can change it"
+        reason = "rejected by a gateway running with OLD; these settings need a restart"
         yield f"{reason}: {', '.join(restart_only)}"
 
 
@@ -118,7 +121,7 @@
 
 def _tenant_ids(version: SettingsVersion) -> dict[str, int]:
     names = [each.name for each in version.settings.tenants]
-    return dict(zip(names, version.tenant_ids, strict=False))  # without tenants there is one id
+    return dict(zip(names, version.tenant_ids, strict=False))  # there is one id even without tenants
 
 
 def _changed_fields(old: JsonObject, new: JsonObject, path: str = "") -> Iterator[str]:
@@ -143,11 +146,11 @@
     yield from lines[:max_lines]
     omitted_count = len(lines) - max_lines
     if omitted_count > 0:
-        yield f"  ... and {omitted_count} more (--all names them)"
+        yield f"  ... and {omitted_count} more (--all lists them)"
 
 
 def _section(title: str, changes: Iterable[str]) -> Iterator[str]:
-    """Yield a title and a line for each change, or nothing without changes."""
+    """Yield a title and a line for each change, or nothing if there are none."""
     lines = [f"  ~ {change}" for change in changes]
     if lines:
         yield f"{title}:"
--- a/load_balancer/config/config_reader.py
+++ b/load_balancer/config/config_reader.py
@@ -1,4 +1,4 @@
-"""A gateway's configuration from the bytes of its file and the variables that override it, in steps."""
+"""Reads a gateway's configuration, in steps, from the bytes of its file and the overriding variables."""
 
 from __future__ import annotations
 
@@ -23,23 +23,23 @@
 
 HASH_BYTES_PER_STEP = 1024 * 1024
 DIGEST_BYTES = 16
-PLACEHOLDER_ADDRESS: Address = ("", 0)  # never in a Config: the error that comes with it is raised first
+PLACEHOLDER_ADDRESS: Address = ("", 0)  # never in a Config: the error added with it is raised first
 
 
 def read_config(
     data: bytes, environ: Mapping[str, str], previous: Config | None, errors: ValidationErrors
 ) -> Steps[Config]:
-    """Read the configuration from the file's bytes; see `load_config_steps`.
+    """Read the configuration from the file's bytes; `load_config_steps` describes the other arguments.
 
     Raises:
-        SettingsFormatError: The configuration cannot be used.
+        SettingsFormatError: The configuration is invalid.
     """
     model: FileModel | None = yield from decode_document(data, FileModel, errors)
     yield
     if model is None:
         yield from _add_settings_errors(data, errors)
         raise SettingsFormatError(errors.messages)
-    del data  # the model keeps its own references to the parts that are still to be read
+    del data  # the model refers to the parts that are still to be read
     identity = _read_identity(model, environ, previous, errors)
     seed = _read_seed(model.seed, errors)
     peers = _read_peers(model, errors)
@@ -69,7 +69,7 @@
 
 
 def _add_settings_errors(data: bytes, errors: ValidationErrors) -> Steps[None]:
-    """Add the errors of the settings in a file that does not fit `FileModel`."""
+    """Add the errors of the settings in a file that does not match `FileModel`."""
     raw_fields: dict[str, Raw] = decode_value(data, dict[str, Raw], "", errors) or {}
     if "settings" in raw_fields:
         yield from read_settings(raw_fields["settings"], "settings", None, errors, names_required=True)
@@ -93,9 +93,9 @@
     if previous is None:
         discovery = environ.get("ROUTER_DISCOVERY", discovery)
     if not name:
-        errors.add("name", "is missing; expected text")
+        errors.add("name", "is missing; expected a string")
     elif not isinstance(name, str):
-        errors.add("name", f"expected text, got {name!r}")
+        errors.add("name", f"expected a string, got {name!r}")
     return _Identity(
         str(name),
         _read_address(listen, "listen", errors),
@@ -105,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Peers:
-    """Where the other gateways are, and where they reach this one."""
+    """Addresses for messages between gateways, as in `Config`."""
 
     addresses: tuple[Address, ...]
     listen: Address | None
@@ -132,12 +132,12 @@
     try:
         return int(seed, 16) if isinstance(seed, str) else int(seed)
     except ValueError:
-        errors.add("seed", f"expected a number, or one in hexadecimal as text, got {seed!r}")
+        errors.add("seed", f"expected a number or a hexadecimal string, got {seed!r}")
         return 0
 
 
 def _read_endpoint_list(raw: Raw, only_check: bool, errors: ValidationErrors) -> Steps[dict[str, Any]]:
-    """Return the cached endpoint list as plain objects; with `only_check`, validate it and return {}."""
+    """Return the cached endpoint list as JSON values; with `only_check`, validate it and return {}."""
     model: EndpointListModel | None = decode_value(raw, EndpointListModel, "known", errors)
     yield
     if model is None or only_check:
@@ -156,7 +156,7 @@
 
 
 def _digest(raw: Raw) -> Steps[str]:
-    """Return the hex digest of a piece of JSON."""
+    """Return the hexadecimal digest of a JSON text."""
     view = memoryview(raw)
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for start in range(0, len(view), HASH_BYTES_PER_STEP):
@@ -191,5 +191,5 @@
     """Return `previous` if it holds the same names, else `names`."""
     if len(names) != len(previous):
         return names
-    same_objects = all(map(is_, names, previous))  # cheaper than comparing text, and usual on a reload
+    same_objects = all(map(is_, names, previous))  # cheaper than comparing text
     return previous if same_objects or names == previous else names
--- a/load_balancer/config/effective_config.py
+++ b/load_balancer/config/effective_config.py
@@ -1,4 +1,4 @@
-"""A configuration with every default written out, in the form of the file itself."""
+"""A configuration with all defaults filled in, in the format of the configuration file."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
     Attributes:
         config: The configuration as read.
-        document: The same as JSON in the file's vocabulary, without the cached endpoint list.
+        document: The same as JSON with the file's keys, without the cached endpoint list.
     """
 
     config: Config
@@ -41,10 +41,10 @@
 
 
 def read_effective_config(path: str, environ: Mapping[str, str], max_errors: int = 1) -> EffectiveConfig:
-    """Read a file as a gateway with this environment would.
+    """Read a configuration file as a gateway with this environment would.
 
     Raises:
-        ConfigError: The file cannot be used; it holds the first `max_errors` errors.
+        ConfigError: The file cannot be read or is invalid; holds at most `max_errors` errors.
     """
     printable_path, data = run_to_completion(read_file({**environ, "ROUTER_CONFIG": path}))
     try:
@@ -82,7 +82,7 @@
 
 
 def _with_default_objective(request_class: RequestClassModel) -> RequestClassModel:
-    """Write out the default of the latency objective, which is the client's timeout."""
+    """Return the request class with a latency objective, which defaults to the client's timeout."""
     if request_class.latency_objective_us is not UNSET:
         return request_class
     return structs.replace(request_class, latency_objective_us=request_class.client_timeout_us)
--- a/load_balancer/config/errors.py
+++ b/load_balancer/config/errors.py
@@ -1,4 +1,4 @@
-"""Errors of a configuration, each naming the JSON path that it concerns."""
+"""Configuration errors; messages start with the JSON path of the invalid value, where it has one."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 from load_balancer.errors import LoadBalancerError
 
-MAX_MESSAGE_LENGTH = 300  # characters of one error
+MAX_MESSAGE_LENGTH = 300  # the maximum number of characters of one error message
 
 
 class ConfigError(LoadBalancerError, ValueError):
-    """The configuration is missing or cannot be used.
+    """The configuration is missing or invalid.
 
     Attributes:
         errors: All errors found, one line each.
@@ -22,13 +22,13 @@
 
     @classmethod
     def from_format_error(cls, file: str, error: SettingsFormatError) -> ConfigError:
-        """Return the error that names the file before each path."""
+        """Return an error whose messages have the file's name in front of the JSON path."""
         errors = tuple(f"{file}: {each}" for each in error.errors)
         return cls(errors[0], errors)
 
 
 class SettingsFormatError(LoadBalancerError, ValueError):
-    """JSON that does not fit its model.
+    """JSON that does not match its model.
 
     Attributes:
         errors: All errors found, one line each, beginning with the JSON path.
@@ -40,7 +40,7 @@
 
 
 class ValidationErrors:
-    """Collects errors and raises them together once there are enough of them.
+    """Collects errors and raises them together when their maximum number is reached.
 
     Args:
         max_errors: `add` raises when this many have been collected; 1 raises the first.
@@ -51,7 +51,7 @@
         self.messages: list[str] = []
 
     def add(self, path: str, message: str) -> None:
-        """Collect an error at a JSON path.
+        """Add the error of the value at a JSON path.
 
         Raises:
             SettingsFormatError: `max_errors` errors have been collected.
@@ -80,7 +80,12 @@
 
 
 def join_path(path: str, segment: str) -> str:
-    """Return the JSON path of a part, a name or an index in brackets, within the value at `path`."""
+    """Return the JSON path of a field or list item of the value at `path`.
+
+    Args:
+        path: The path of the object or list; empty for the whole document.
+        segment: The field's name, or the item's index in brackets.
+    """
     if not path or not segment or segment.startswith("["):
         return f"{path}{segment}"
     return f"{path}.{segment}"
--- a/load_balancer/config/file.py
+++ b/load_balancer/config/file.py
@@ -1,4 +1,4 @@
-"""Reading a gateway's configuration: the ROUTER_* variables and the file that ROUTER_CONFIG names."""
+"""Loads a gateway's configuration from the ROUTER_* variables and the file that ROUTER_CONFIG names."""
 
 from __future__ import annotations
 
@@ -18,27 +18,27 @@
 from load_balancer.config.gateway_config import Config
 from load_balancer.config.steps import Steps, run_to_completion
 
-MAX_CONFIG_BYTES = 16 * 1024 * 1024  # bytes; about five times a file of 3,400 classes and 23,000 tenants
+MAX_CONFIG_BYTES = 16 * 1024 * 1024  # about five times a file of 3,400 classes and 23,000 tenants
 READ_BYTES_PER_STEP = 4 * 1024 * 1024
 MIN_READ_BYTES = 64 * 1024
 
 
 def load_config(environ: Mapping[str, str]) -> Config:
-    """Return the configuration of a gateway that starts.
+    """Return the configuration for the start of a gateway.
 
     ROUTER_NAME, ROUTER_LISTEN and ROUTER_DISCOVERY override the values in the file.
 
     Raises:
-        ConfigError: The configuration is missing or cannot be used.
+        ConfigError: The configuration is missing or invalid.
     """
     return run_to_completion(load_config_steps(environ))
 
 
 def parse_config(document: dict[str, Any]) -> Config:
-    """Return the configuration of a file's JSON object, without a file or an environment.
+    """Return the configuration in a file's decoded JSON, without overrides from the environment.
 
     Raises:
-        ConfigError: The configuration cannot be used.
+        ConfigError: The configuration is invalid.
     """
     try:
         return run_to_completion(read_config(msgspec.json.encode(document), {}, None, ValidationErrors()))
@@ -49,17 +49,17 @@
 def load_config_steps(
     environ: Mapping[str, str], previous: Config | None = None, max_errors: int = 1
 ) -> Steps[Config]:
-    """Read the configuration in steps of at most some 2 ms at 23,000 tenants.
+    """Read the configuration in steps of at most about 2 ms with 23,000 tenants.
 
     Args:
         environ: The ROUTER_* variables.
-        previous: The configuration in force. Equal parts (tenants, classes,
-            names, and whole tuples) are reused as the same objects, ROUTER_DISCOVERY is ignored, and the
-            cached endpoint list is left empty, as the process holds a newer one.
-        max_errors: Reading stops after this many errors in the file's contents.
+        previous: The configuration in force, if there is one. Its request classes, tenants, names and whole
+            tuples of these are reused as the same objects where they are equal, ROUTER_DISCOVERY is ignored,
+            and the cached endpoint list is left empty, as the process holds a newer one.
+        max_errors: Reading stops after this number of errors in the file's content.
 
     Raises:
-        ConfigError: The configuration is missing or cannot be used.
+        ConfigError: The configuration is missing or invalid.
     """
     path, data = yield from read_file(environ)
     try:
@@ -69,10 +69,10 @@
 
 
 def read_file(environ: Mapping[str, str]) -> Steps[tuple[str, bytes]]:
-    """Return the configuration file's path, as errors show it, and its bytes.
+    """Return the configuration file's path in printable form, and its bytes.
 
     Raises:
-        ConfigError: No file is named, it cannot be read, or it has more than `MAX_CONFIG_BYTES` bytes.
+        ConfigError: ROUTER_CONFIG is not set, or its file is unreadable or larger than `MAX_CONFIG_BYTES`.
     """
     path = environ.get("ROUTER_CONFIG")
     if not path:
@@ -98,4 +98,4 @@
         raise ConfigError(
             f"{printable_path} is too large: expected at most {MAX_CONFIG_BYTES} bytes, got {size} or more"
         )
-    return printable_path, b"".join(chunks)  # a single part is not copied
+    return printable_path, b"".join(chunks)  # a single chunk is not copied
--- a/load_balancer/config/file_models.py
+++ b/load_balancer/config/file_models.py
@@ -8,21 +8,25 @@
 
 
 class LimitsModel(Struct):
-    """Limits of the process."""
+    """Limits of the process.
+
+    Attributes:
+        sockets: The number of file descriptors that the process may hold.
+    """
 
     sockets: Annotated[int, Meta(ge=128)] = 1024
 
 
 class EndpointListModel(Struct):
-    """An endpoint list in the form of service discovery, its entries left raw."""
+    """An endpoint list in service discovery's format; its entries stay raw JSON."""
 
     endpoints: list[Raw] = []
 
 
 class FileModel(Struct):
-    """The file; the settings and the cached endpoint list are left raw, to be read piece by piece.
+    """The file; the settings and the cached endpoint list stay raw JSON, to be decoded in steps.
 
-    Values that the environment may override are checked after the override.
+    `name`, `listen` and `discovery` are checked after the environment has overridden them.
     """
 
     settings: Raw
--- a/load_balancer/config/gateway_config.py
+++ b/load_balancer/config/gateway_config.py
@@ -25,14 +25,14 @@
 
     Attributes:
         name: This gateway's name.
-        listen: Where clients connect.
+        listen: Address on which client connections are accepted.
         discovery: Address of service discovery.
         seed: Seed of the random number generator.
-        max_sockets: File descriptors that the process may hold.
-        settings: The settings that the balancer decides by.
+        max_sockets: Number of file descriptors that the process may hold.
+        settings: The balancer's settings.
         names: The operator's names for classes, tenants, zones and endpoint kinds.
         cached_endpoint_list: The endpoint list to start with, in service discovery's JSON form.
-        peer_listen: Where messages of other gateways are received; None to receive none.
+        peer_listen: Address on which messages of other gateways are received; None to receive none.
         peers: Addresses of the other gateways.
         peers_all: An address that reaches all gateways; None if there is none.
         settings_digest: Hex digest of the settings object's bytes in the file.
--- a/load_balancer/config/json_document.py
+++ b/load_balancer/config/json_document.py
@@ -1,7 +1,7 @@
-"""Decoding of JSON with every error named by its path, in words that suit an operator.
+"""Decoding of JSON, with error messages for operators.
 
-The type-directed decoding is msgspec's; this module adds what its messages lack: all errors of a value
-instead of the first, the path of a syntax error, and wording without the names of Python types.
+Values are decoded by msgspec. This module adds what its errors lack: all errors of a value instead of the
+first, the JSON path of a syntax error, and messages without the names of Python types.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from load_balancer.config.errors import SettingsFormatError, ValidationErrors, join_path, printable_line
 from load_balancer.config.steps import Steps
 
-TOKENS_PER_STEP = 2_000  # JSON tokens between two yields
+TOKENS_PER_STEP = 2_000  # JSON tokens scanned between two yields
 
 _JSON_TOKEN = re.compile(rb'"(?:[^"\\]|\\.)*+"?|[{}\[\],:]', re.DOTALL)
 _BYTE_OFFSET = re.compile(r" \(byte (\d+)\)$")
@@ -27,19 +27,19 @@
 _BOUND_DESCRIPTIONS = {">=": "least", "<=": "most"}
 _TYPE_DESCRIPTIONS = {
     "float": "a number",
-    "int": "a whole number",
+    "int": "an integer",
     "bool | int": "true or false",
     "bool": "true or false",
-    "str": "text",
-    "str | null": "text",
+    "str": "a string",
+    "str | null": "a string",
     "object": "an object",
     "array": "a list",
-    "float | int | str": "a number or text",
+    "float | int | str": "a number or a string",
 }
 
 
 def decode_document(data: bytes, value_type: Any, errors: ValidationErrors) -> Steps[Any]:
-    """Decode a whole JSON text in steps.
+    """Decode a JSON document in steps.
 
     Returns:
         The value, or None once an error has been added to `errors`.
@@ -57,7 +57,7 @@
         msgspec.json.decode(data, type=Raw)
     except RecursionError:
         raise _nested_too_deep() from None
-    except msgspec.DecodeError as error:  # a syntax error is reported first, even if it stands further on
+    except msgspec.DecodeError as error:  # a syntax error is reported even if a type error precedes it
         raise SettingsFormatError([(yield from syntax_error(data, error))]) from None
     add_decode_errors(data, value_type, "", errors, type_error)
     return None
@@ -82,7 +82,7 @@
 def add_decode_errors(
     raw: Any, value_type: Any, path: str, errors: ValidationErrors, error: Exception
 ) -> None:
-    """Add every error of a value that failed to decode with `error`: in an object, those of each field."""
+    """Add the errors of a value that failed to decode with `error`; for a model, those of every field."""
     if isinstance(error, RecursionError):
         errors.add(path, "is nested too deep")
     elif isinstance(value_type, type) and issubclass(value_type, Struct):
@@ -112,17 +112,16 @@
     if get_origin(value_type) is Literal:
         actual = message.partition(", got ")[2] or message.removeprefix("Invalid enum value ")
         message = f"{_describe_expected(value_type)}, got {actual}"
-    elif not isinstance(
-        error, msgspec.ValidationError
-    ):  # the syntax was checked before: a string is not UTF-8
-        message = "expected text in Unicode"
+    elif not isinstance(error, msgspec.ValidationError):
+        # The syntax has been checked before, so this is a string that is not valid UTF-8.
+        message = "expected a string in UTF-8"
     elif not message.startswith("Expected"):
         message = f"{_describe_expected(value_type)}: {message}"
     errors.add(path, _reword(message))
 
 
 def _describe_expected(value_type: Any) -> str:
-    """Return the description of a type that msgspec gives when it decodes null."""
+    """Return what msgspec expects of a type, taken from its error for null."""
     if get_origin(value_type) is Literal:
         return f"expected {' or '.join(map(str, get_args(value_type)))}"
     try:
@@ -133,7 +132,7 @@
 
 
 def _reword(message: str) -> str:
-    """Return a message of msgspec with words for the names of types and the signs of bounds."""
+    """Return a message of msgspec with type names and comparison operators replaced by words."""
     message = _QUOTED_TYPE.sub(lambda match: _TYPE_DESCRIPTIONS.get(match[1], match[1]), message)
     bound = _BOUND_SUFFIX.search(message)
     if bound:
@@ -142,7 +141,7 @@
 
 
 def syntax_error(data: bytes, error: Exception, path: str = "") -> Steps[str]:
-    """Return one line on why a text is not JSON: the byte and the value where it goes wrong or ends."""
+    """Return a one-line description of a syntax error, with its byte offset and its JSON path."""
     message = str(error)
     offset_match = _BYTE_OFFSET.search(message)
     offset = int(offset_match[1]) if offset_match else len(data)
@@ -153,14 +152,14 @@
     if offset_match:
         reason = _BYTE_OFFSET.sub("", message).removeprefix("JSON is malformed: ")
     else:
-        reason = "it ends in the middle"
+        reason = "unexpected end of input"
     within = f", in {error_path}" if error_path else ""
-    return printable_line(f"not JSON: {reason} at byte {offset}{within}; expected an object")
+    return printable_line(f"invalid JSON: {reason} at byte {offset}{within}; expected an object")
 
 
 def json_path_at(data: bytes, end: int) -> Steps[str]:
-    """Return the path of the innermost value that is open at a byte of a JSON text."""
-    open_values: list[str | int] = []  # the current key of an object, the current index of a list
+    """Return the JSON path of the innermost value that is incomplete at byte `end`."""
+    open_values: list[str | int] = []  # the current key of each object, the current index of each list
     previous_token = b""
     for count, match in enumerate(_JSON_TOKEN.finditer(data, 0, end), start=1):
         token: bytes = match[0]
@@ -191,4 +190,4 @@
 
 
 def _nested_too_deep() -> SettingsFormatError:
-    return SettingsFormatError(["not JSON that can be read: nested too deep; expected an object"])
+    return SettingsFormatError(["invalid JSON: nested too deep; expected an object"])
--- a/load_balancer/config/models.py
+++ b/load_balancer/config/models.py
@@ -1,12 +1,11 @@
-"""Models of the settings object, and the operators' vocabulary for it.
+"""Models of the JSON settings object.
 
-Operators write settings with the names of the simulator's first message: `lanes`, `giveUpUs`, `tipMultiple`.
-This module is the one place that maps them: fields have the names of `load_balancer.decisions.settings`, and
-`msgspec.field(name=...)` gives the word in JSON where it is another one. Times are in microseconds. The order
-of the fields is the order in which they are printed.
+The JSON keys are those of the settings in the simulator's `launch` message: `lanes`, `giveUpUs`,
+`tipMultiple`. Fields are named as in `load_balancer.decisions.settings`, and `msgspec.field(name=...)` gives
+the JSON key where it differs. Only this module maps the two. Times are in microseconds. Fields are printed in
+the order of their definition.
 
-Whole numbers may be written as 1000.0, so numbers are read as floats. Names that a model does not know are
-ignored.
+Integers may be written as 1000.0, so numbers are decoded as floats. Unknown keys are ignored.
 """
 
 from __future__ import annotations
@@ -21,7 +20,7 @@
 NonNegative = Annotated[float, Meta(ge=0)]
 AtLeastOne = Annotated[float, Meta(ge=1)]
 Share = Annotated[float, Meta(ge=0, le=1)]
-Flag = bool | int  # 0 and 1 are accepted
+Flag = bool | int  # 0 and 1 are accepted for false and true
 
 IdempotencyValue = Literal["free", "guarded", "single_shot"]
 IDEMPOTENCY: dict[IdempotencyValue, Idempotency] = {
@@ -44,9 +43,9 @@
     "pull": LoadReportMode.HEALTH_CHECKS,
 }
 
-WEIGHT_BY_WORK = "work"  # the other word is "request"
-ENDPOINTS_ARE_PUSHED = "pushed"  # the other word is "on_request"
-LOAD_DEPENDENT_WEIGHTS = "live"  # any other value says that weights are fixed
+WEIGHT_BY_WORK = "work"  # the other value is "request"
+ENDPOINTS_ARE_PUSHED = "pushed"  # the other value is "on_request"
+LOAD_DEPENDENT_WEIGHTS = "live"  # any other value means fixed weights
 
 
 class SettingsObject(Struct, rename="camel", gc=False, frozen=True):
@@ -54,7 +53,7 @@
 
 
 class RequestClassModel(SettingsObject, frozen=True):
-    """One request class."""
+    """One request class, an item of `lanes`."""
 
     client_timeout_us: AtLeastOne = field(name="giveUpUs")
     latency_objective_us: AtLeastOne | UnsetType = field(default=UNSET, name="aimUs")
@@ -70,7 +69,7 @@
 
 
 class TenantModel(SettingsObject, frozen=True):
-    """One tenant."""
+    """One tenant, an item of `tenants`."""
 
     name: str = ""
     quota_per_s: NonNegative = field(default=0.0, name="allowancePerS")
@@ -78,7 +77,7 @@
 
 
 class ObjectiveModel(SettingsObject, frozen=True):
-    """How the parts of good service are weighed."""
+    """Weights of the terms of the objective."""
 
     overall: NonNegative = field(default=1.0, name="whole")
     worst_window: NonNegative = 0.0
@@ -87,7 +86,7 @@
 
 
 class PricesModel(SettingsObject, frozen=True):
-    """The price of a unit of each cost, subtracted from the objective."""
+    """Price per unit of each cost, subtracted from the objective."""
 
     cross_zone: NonNegative = 0.0
     waste: NonNegative = 0.0
@@ -148,14 +147,14 @@
 
 
 class LoadReportModel(SettingsObject, frozen=True):
-    """Where load reports come from, and the names of their values."""
+    """Source of load reports, and the names of their values."""
 
     mode: LoadReportModeValue = field(default="silent", name="how")
     fields: list[str] = []
 
 
 class SettingsModel(SettingsObject, frozen=True):
-    """The settings object; the long lists are left raw, to be read piece by piece."""
+    """The settings object; request classes and tenants stay raw JSON, to be decoded item by item."""
 
     classes: list[Raw] = field(default_factory=list, name="lanes")
     tenants: list[Raw] = []
@@ -180,7 +179,7 @@
 
 
 def json_name(model: type[Struct], field_name: str) -> str:
-    """Return the name that a field of a model has in JSON."""
+    """Return the JSON key of a model's field."""
     names = {each.name: each.encode_name for each in msgspec.structs.fields(model)}
     return names[field_name]
 
--- a/load_balancer/config/settings_conversion.py
+++ b/load_balancer/config/settings_conversion.py
@@ -30,7 +30,7 @@
 
 
 def to_class(model: RequestClassModel, previous: RequestClass | None) -> RequestClass:
-    """Return the request class of a model: `previous` itself if it is equal."""
+    """Return the request class that a model describes, or `previous` if the two are equal."""
     client_timeout_us = int(model.client_timeout_us)
     objective_us = model.latency_objective_us
     request_class = RequestClass(
@@ -50,7 +50,7 @@
 
 
 def to_tenant(model: TenantModel, previous: Tenant | None) -> Tenant:
-    """Return the tenant of a model: `previous` itself if it is equal."""
+    """Return the tenant that a model describes, or `previous` if the two are equal."""
     if (
         previous is not None
         and previous.quota_per_s == model.quota_per_s
@@ -64,7 +64,7 @@
 def to_settings(
     model: SettingsModel, classes: tuple[RequestClass, ...], tenants: tuple[Tenant, ...]
 ) -> Settings:
-    """Return the settings of a model and its lists.
+    """Return the settings that a model describes, with its converted request classes and tenants.
 
     Raises:
         SettingsError: The values are out of range or contradict each other.
--- a/load_balancer/config/settings_reader.py
+++ b/load_balancer/config/settings_reader.py
@@ -1,4 +1,4 @@
-"""Settings from JSON, in steps, so that a gateway can serve requests while it reads thousands of tenants."""
+"""Reads settings from JSON in steps, so that a gateway serves requests while it reads many tenants."""
 
 from __future__ import annotations
 
@@ -28,19 +28,19 @@
 from load_balancer.decisions.settings import RequestClass, Settings, Tenant
 from load_balancer.errors import SettingsError
 
-_UNLIMITED_ERRORS = 1 << 30  # errors
+_UNLIMITED_ERRORS = 1 << 30  # a maximum that is never reached
 
 _Item = TypeVar("_Item", bound=RequestClass | Tenant)
 
 
 @dataclass(frozen=True, slots=True)
 class _ItemFormat(Generic[_Item]):
-    """How the items of a list are read.
+    """How the items of a list are decoded and converted.
 
     Attributes:
         model: The model of an item's JSON.
-        convert: Makes an item from its model and the previous item of the same name, if any; returns that
-            previous object if the two are equal.
+        convert: Converts a decoded item. Its second argument is the previous item of the same name, if any,
+            which is returned if the two are equal.
     """
 
     model: type[Any]
@@ -52,14 +52,14 @@
 
 
 class _PreviousItems(Generic[_Item]):
-    """The items of a list as they were in force before, found by index or else by name."""
+    """The items of a list in the previous settings, looked up by index and then by name."""
 
     def __init__(self, items: tuple[_Item, ...]) -> None:
         self.items = items
-        self._by_name: dict[str, _Item] | None = None  # built when the first item has changed its index
+        self._by_name: dict[str, _Item] | None = None  # built when a lookup by index fails
 
     def find(self, index: int, name: str) -> _Item | None:
-        """Return the item with a name, looking at the index first; None if there was none."""
+        """Return the previous item of this name, if any; the item at `index` is tried first."""
         if not self.items:
             return None
         if index < len(self.items):
@@ -82,14 +82,17 @@
 
     Args:
         raw: The JSON text of the settings object.
-        path: The path of the settings in their document; empty if they are a document of their own.
-        previous: Settings in force; equal parts are reused as the same object: a class, a tenant,
-            or the whole tuple of a list.
+        path: The JSON path of the settings in their document; empty if they are the whole document.
+        previous: The settings in force. Equal request classes, equal tenants, and the whole tuple of an equal
+            list are reused as the same objects.
         errors: Collects the errors; by default the first error is raised.
-        names_required: Each class and each tenant must have a name.
+        names_required: Whether each request class and each tenant must have a name.
+
+    Returns:
+        The settings, and the model that they were converted from.
 
     Raises:
-        SettingsFormatError: The settings cannot be used.
+        SettingsFormatError: The settings are invalid.
     """
     errors = errors or ValidationErrors()
     model = yield from _read_model(raw, path, errors)
@@ -113,15 +116,15 @@
     try:
         return to_settings(model, classes, tenants), model
     except SettingsError as error:  # `Settings` checks more than the model does
-        message = printable_line(f"{path or 'settings'}: cannot be used: {error}")
+        message = printable_line(f"{path or 'settings'}: invalid: {error}")
         raise SettingsFormatError([message]) from None
 
 
 def _read_model(raw: Any, path: str, errors: ValidationErrors) -> Steps[SettingsModel]:
-    """Decode and check everything but the items of the long lists."""
+    """Decode and check the settings except for the items of the request classes and tenants."""
     model: SettingsModel | None = decode_value(raw, SettingsModel, path, errors)
     yield
-    if model is None:  # the lists are read all the same, to report their errors too
+    if model is None:  # the lists are decoded nevertheless, to report their errors too
         model = _decode_lists(raw)
         if not model.classes:
             return model
@@ -130,7 +133,7 @@
 
 
 def _decode_lists(raw: Any) -> SettingsModel:
-    """Return a model with the lists that can be decoded and the default for everything else."""
+    """Return a model with the lists that can be decoded, and defaults for all other fields."""
     ignored = ValidationErrors(_UNLIMITED_ERRORS)
     raw_fields = decode_value(raw, dict[str, Raw], "", ignored) or {}
     classes = decode_value(raw_fields.get(CLASSES_KEY, b"[]"), list[Raw], "", ignored)
@@ -141,27 +144,27 @@
 def _check_fields(model: SettingsModel, path: str, errors: ValidationErrors) -> None:
     """Check rules that involve several fields."""
     if not model.classes:
-        errors.add(join_path(path, CLASSES_KEY), "expected at least one")
+        errors.add(join_path(path, CLASSES_KEY), "expected at least one request class, got none")
     index = int(model.gateway_index)
     gateways = int(model.gateways)
     if model.gateway_index >= model.gateways:
-        message = f"expected a number below {GATEWAYS_KEY}, {gateways}, got {index}"
+        message = f"expected an index below {GATEWAYS_KEY} ({gateways}), got {index}"
         errors.add(join_path(path, GATEWAY_INDEX_KEY), message)
     if model.zones and int(model.zone) >= len(model.zones):
-        message = f"expected the place of one of {len(model.zones)} zones, from 0, got {int(model.zone)}"
+        message = f"expected an index below the number of zones ({len(model.zones)}), got {int(model.zone)}"
         errors.add(join_path(path, ZONE_KEY), message)
     _check_unique(model.zones, join_path(path, ZONES_KEY), "", errors)
 
 
 def _check_unique(names: Sequence[str], list_path: str, field: str, errors: ValidationErrors) -> None:
-    """Check that no name occurs twice; any number of items may have an empty one."""
+    """Check that no name occurs twice; any number of items may have an empty name."""
     if len(set(names)) == len(names):
         return
     first_index: dict[str, int] = {}
     for index, name in enumerate(names):
         if name and first_index.setdefault(name, index) != index:
             path = join_path(f"{list_path}[{index}]", field)
-            errors.add(path, f"expected a name of its own, got {name!r} as at [{first_index[name]}]")
+            errors.add(path, f"expected a unique name, got {name!r}, already used at [{first_index[name]}]")
 
 
 def read_list(
@@ -172,7 +175,7 @@
     errors: ValidationErrors,
     names_required: bool,
 ) -> Steps[tuple[_Item, ...]]:
-    """Read one of the long lists; returns `previous` itself if nothing in it has changed."""
+    """Read a list of request classes or tenants; return `previous` itself if nothing has changed."""
     decoder: msgspec.json.Decoder[Any] = msgspec.json.Decoder(item_format.model)
     previous_items = _PreviousItems(previous)
     items: list[_Item] = []
@@ -184,7 +187,7 @@
                 add_decode_errors(raw, item_format.model, f"{path}[{index}]", errors, error)
                 continue
             if names_required and not model.name:
-                errors.add(f"{path}[{index}].name", "is missing; expected text")
+                errors.add(f"{path}[{index}].name", "is missing; expected a string")
             items.append(item_format.convert(model, previous_items.find(index, model.name)))
         yield
     _check_unique([item.name for item in items], path, "name", errors)
--- a/load_balancer/config/steps.py
+++ b/load_balancer/config/steps.py
@@ -1,11 +1,11 @@
-"""Work in steps: generators that yield often, so that an event loop can serve requests in between."""
+"""Long computations as generators that yield often, so that an event loop can run in between."""
 
 from __future__ import annotations
 
 from collections.abc import Generator
 from typing import TypeVar
 
-ITEMS_PER_STEP = 200  # list items between two yields: well under a millisecond
+ITEMS_PER_STEP = 200  # list items processed between two yields, in well under a millisecond
 
 Result = TypeVar("Result")
 Steps = Generator[None, None, Result]
--- a/load_balancer/errors.py
+++ b/load_balancer/errors.py
@@ -1,4 +1,4 @@
-"""The root of the package's errors: whatever it raises on purpose derives from `LoadBalancerError`."""
+"""Base classes of the errors that this package raises on purpose."""
 
 from __future__ import annotations
 
@@ -8,4 +8,4 @@
 
 
 class SettingsError(LoadBalancerError, ValueError):
-    """Settings that are out of range or contradictory; the message names the field and the fault."""
+    """Settings that are out of range or contradictory; the message names the field and the problem."""
--- a/load_balancer/load_report_format.py
+++ b/load_balancer/load_report_format.py
@@ -1,4 +1,4 @@
-"""The text form of a load report: `name:value` pairs with commas between them."""
+"""The text form of a load report: `name:value` pairs separated by commas."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 def parse_load_report(text: str) -> tuple[tuple[str, float], ...]:
     """Return the names and values of a load report.
 
-    Load reports are advice: a value that is not a finite number is left out.
+    Load reports are only hints, so a pair whose value is not a finite number is skipped.
     """
     pairs: list[tuple[str, float]] = []
     for entry in text.split(","):
--- a/load_balancer/simulator/adapter.py
+++ b/load_balancer/simulator/adapter.py
@@ -1,7 +1,7 @@
 """Runs balancers for the simulator: batches from standard input, one reply to each on standard output.
 
-Each instance has a `Balancer` of its own. Nothing is shared between them, and nothing is decided here. A line
-that cannot be read is reported on standard error and skipped.
+Each instance has its own `Balancer`, and instances share no state. The adapter makes no decisions itself. An
+invalid line is reported on standard error and skipped.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from load_balancer.simulator.fields import Fields, integer_field, lookup_field, text_field
 from load_balancer.simulator.vocabulary import LIST_KINDS, Field, Message, Reply
 
-MAX_REPORTED_LENGTH = 200  # characters of a bad line that are reported
+MAX_REPORTED_LENGTH = 200  # the maximum number of characters of an invalid line in a report
 
 
 class SimulatorAdapter:
@@ -35,7 +35,7 @@
     Args:
         source: Where the lines come from.
         sink: Where replies go.
-        errors: Where lines that cannot be read are reported.
+        errors: Where invalid lines are reported.
     """
 
     def __init__(self, source: TextIO, sink: TextIO, errors: TextIO) -> None:
@@ -65,7 +65,7 @@
             line = line.rstrip("\r\n")
             try:
                 self._read_line(line)
-            except (KeyError, ValueError) as error:  # also from decisions that cannot use an event
+            except (KeyError, ValueError) as error:  # also raised by a balancer for an invalid event
                 self._report(line, error)
 
     def _report(self, line: str, error: KeyError | ValueError) -> None:
@@ -91,7 +91,7 @@
         elif handler is not None:
             handler(fields)
         else:
-            raise WireFormatError("unknown event")
+            raise WireFormatError("unknown message name")
 
     def _start_batch(self, fields: Fields) -> None:
         self._reply = []
@@ -106,13 +106,13 @@
         self._reply = []
 
     def _select_instance(self, fields: Fields) -> None:
-        self._instance = ""  # after a line without a name, events go to no instance
+        self._instance = ""  # stays empty if the line has no name
         self._instance = text_field(fields, Field.INSTANCE)
 
     def _start_instance(self, fields: Fields) -> None:
         self._balancers.pop(self._instance, None)
         if not self._instance:
-            raise WireFormatError("launch outside any instance")
+            raise WireFormatError("launch without a selected instance")
         settings = parse_settings(text_field(fields, Field.SETTINGS))
         seed = integer_field(fields, Field.SEED)
         self._balancers[self._instance] = Balancer(settings, seed)
@@ -156,13 +156,13 @@
 def _parse_endpoint_line(line: str) -> Endpoint:
     name, fields = split_line(line)
     if name != Message.ENDPOINT:
-        raise WireFormatError("not a list entry")
+        raise WireFormatError("expected an endpoint of the table")
     return parse_endpoint(fields)
 
 
 def main() -> int:
-    """Run the adapter on the standard streams; returns the exit code."""
-    gc.freeze()  # exempts imported modules from collections
+    """Run the adapter on the standard streams, and return the exit code."""
+    gc.freeze()  # exempts imported modules from garbage collection
     if isinstance(sys.stdin, io.TextIOWrapper):
         sys.stdin.reconfigure(encoding="utf-8", errors="replace", newline="\n")
     SimulatorAdapter(sys.stdin, sys.stdout, sys.stderr).run()
--- a/load_balancer/simulator/codec.py
+++ b/load_balancer/simulator/codec.py
@@ -1,4 +1,4 @@
-"""The text form of the simulator's wire: lines to events and settings, actions to lines."""
+"""Codec of the simulator's text protocol: parses lines to events and settings, formats actions as lines."""
 
 from __future__ import annotations
 
@@ -61,9 +61,8 @@
     Reply,
 )
 
-REST_OF_LINE_FIELD = {
-    Message.INSTANCE_STARTED: Field.SETTINGS
-}  # a field that takes the rest of the line, with its spaces
+# By message name, the field whose value is the rest of the line, spaces included.
+REST_OF_LINE_FIELD = {Message.INSTANCE_STARTED: Field.SETTINGS}
 
 
 def split_line(line: str) -> tuple[str, dict[str, str]]:
@@ -82,21 +81,21 @@
     for pair in rest.split():
         key, separator, value = pair.partition("=")
         if not separator:
-            raise WireFormatError(f"'{pair}' is not name=value")
+            raise WireFormatError(f"expected name=value, got '{pair}'")
         fields[key] = value
     return name, fields
 
 
 def parse_settings(text: str) -> Settings:
-    """Return the settings of an instance that starts, from the JSON text of the settings object.
+    """Return the settings of an instance from their JSON text in its launch message.
 
     Raises:
-        WireFormatError: The settings cannot be used.
+        WireFormatError: The settings are invalid.
     """
     try:
         return run_to_completion(_read_settings(text.encode()))
     except (SettingsFormatError, SettingsError, UnicodeEncodeError) as error:
-        raise WireFormatError(f"settings cannot be used: {error}") from None
+        raise WireFormatError(f"invalid settings: {error}") from None
 
 
 def _read_settings(data: bytes) -> Steps[Settings]:
@@ -106,10 +105,10 @@
 
 
 def parse_endpoint(fields: Fields) -> Endpoint:
-    """Return one entry of an endpoint list.
+    """Return the endpoint that a line of an endpoint table describes.
 
     Raises:
-        WireFormatError: A field is missing or cannot be read.
+        WireFormatError: A field is missing or invalid.
     """
     weight = number_field(fields, Field.WEIGHT, 1.0)
     if not 0.0 < weight < math.inf:
@@ -180,7 +179,7 @@
     try:
         data = b"" if text == NO_DATA else base64.b64decode(text, validate=True)
     except binascii.Error as error:
-        raise WireFormatError(f"{Field.DATA} are not base64: {error}") from None
+        raise WireFormatError(f"{Field.DATA} is not valid base64: {error}") from None
     except ValueError as error:  # a character that is not ASCII
         raise WireFormatError(str(error)) from None
     return PeerMessageReceived(integer_field(fields, Field.GATEWAY_INDEX), data)
@@ -195,11 +194,11 @@
     Message.HEALTH_CHECK_ENDED: _parse_health_check_ended,
     Message.PEER_MESSAGE_RECEIVED: _parse_peer_message_received,
 }
-"""Parsers from a line's fields to an event, by message name; each may raise WireFormatError."""
+"""Functions that parse a line's fields to an event, by message name; they may raise WireFormatError."""
 
 
 def format_action(action: Action) -> str:
-    """Return the line that asks the simulator for an action."""
+    """Return the line that requests an action from the simulator."""
     match action:
         case Send() | Reject() | Fail() | Cancel():
             return _format_request_action(action)
--- a/load_balancer/simulator/errors.py
+++ b/load_balancer/simulator/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the simulator's wire."""
+"""Errors of the simulator's text protocol."""
 
 from __future__ import annotations
 
@@ -6,4 +6,4 @@
 
 
 class WireFormatError(LoadBalancerError, ValueError):
-    """A line that cannot be read; the message says why."""
+    """A line that cannot be parsed; the message says why."""
--- a/load_balancer/simulator/fields.py
+++ b/load_balancer/simulator/fields.py
@@ -14,7 +14,7 @@
 
 
 def text_field(fields: Fields, name: str) -> str:
-    """Return a required field.
+    """Return the text of a required field.
 
     Raises:
         WireFormatError: The field is missing.
@@ -26,10 +26,10 @@
 
 
 def integer_field(fields: Fields, name: str, default: int | None = None) -> int:
-    """Return a whole number; without a default the field is required.
+    """Return the integer in a field; without a default the field is required.
 
     Raises:
-        WireFormatError: The field is missing, or is not a whole number.
+        WireFormatError: The field is missing, or is not an integer.
     """
     text = fields.get(name)
     if text is None:
@@ -43,10 +43,10 @@
 
 
 def optional_integer_field(fields: Fields, name: str, base: int = 10) -> int | None:
-    """Return a whole number, or None where the field is missing.
+    """Return the integer in a field, or None if the field is missing.
 
     Raises:
-        WireFormatError: The field is not a whole number.
+        WireFormatError: The field is not an integer.
     """
     text = fields.get(name)
     if text is None:
@@ -58,7 +58,7 @@
 
 
 def number_field(fields: Fields, name: str, default: float) -> float:
-    """Return a number.
+    """Return the number in a field, or the default if the field is missing.
 
     Raises:
         WireFormatError: The field is not a number.
@@ -73,15 +73,15 @@
 
 
 def flag_field(fields: Fields, name: str) -> bool:
-    """Return whether a flag is set; a missing one is not set."""
+    """Return whether a flag is set; a missing flag is not set."""
     return fields.get(name) == TRUE
 
 
 def lookup_field(fields: Fields, name: str, table: Mapping[str, _Value]) -> _Value:
-    """Return the value that a table maps the word in a field to.
+    """Return the entry of a table whose key is the text of a field.
 
     Raises:
-        WireFormatError: The field is missing, or its word is not in the table.
+        WireFormatError: The field is missing, or its text is not a key of the table.
     """
     key = text_field(fields, name)
     try:
--- a/load_balancer/simulator/vocabulary.py
+++ b/load_balancer/simulator/vocabulary.py
@@ -1,7 +1,7 @@
-"""The words of the simulator's wire, beside the terms that this package uses for them.
+"""Names and values in the simulator's text protocol, mapped to the terms of this package.
 
-Lines are a message name and fields of the form `name=value`. This is the one place that knows the words: the
-codec and the adapter use the names on the left.
+A line is a message name and fields of the form `name=value`. Only this module has the protocol's own names;
+the codec and the adapter use the constants.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
     BATCH_STARTED = "begin_batch"
     BATCH_ENDED = "go"
-    INSTANCE_SELECTED = "instance"  # the lines that follow are for this instance
+    INSTANCE_SELECTED = "instance"  # selects the instance that the following lines are for
     INSTANCE_STARTED = "launch"
     INSTANCE_STOPPED = "destroy"
-    ENDPOINT_TABLE = "inventory"  # so many endpoint lines follow
+    ENDPOINT_TABLE = "inventory"  # followed by the number of endpoint lines in its `members` field
     ENDPOINT = "host"
     ENDPOINT_LIST_RECEIVED = "registry"
     REQUEST_ARRIVED = "incoming"
@@ -31,9 +31,9 @@
 
 
 class Reply:
-    """Names of the lines that the simulator is sent."""
+    """Names of the lines that are sent to the simulator."""
 
-    INSTANCE_SELECTED = "by"  # the lines that follow come from this instance
+    INSTANCE_SELECTED = "by"  # names the instance that the following lines come from
     BATCH_ENDED = "next"
     SEND = "pass_on"
     REJECT = "bounce"
--- a/tests/config/examples.py
+++ b/tests/config/examples.py
@@ -1,4 +1,4 @@
-"""Configurations that the tests read, good and bad, and a short way to read them."""
+"""Valid and invalid configuration files, and functions that make and load them."""
 
 from __future__ import annotations
 
@@ -21,21 +21,21 @@
 
 TRUNCATED = EXAMPLE.read_bytes().partition(b'"multiplex"')[0]
 INVALID_FILES: list[tuple[bytes, str]] = [
-    (TRUNCATED, f"not JSON: it ends in the middle at byte {len(TRUNCATED)}, in settings.caps"),
+    (TRUNCATED, f"invalid JSON: unexpected end of input at byte {len(TRUNCATED)}, in settings.caps"),
     (b'{"seed": NaN}', "seed: expected a finite number, got NaN"),
-    (b'{"settings": {}, "name": "\xff"}', "name: expected text in Unicode"),
+    (b'{"settings": {}, "name": "\xff"}', "name: expected a string in UTF-8"),
     (b'{"seed": "\\ud800", "settings": {}}', "in seed; expected an object"),
-    (b"\xff\xfe\x00" * 1000, "not JSON: invalid character at byte 0; expected an object"),
-    (b"[" * 1_000_000, "nested too deep; expected an object"),
-    (b"[" * 5_000 + b"]" * 5_000, "nested too deep; expected an object"),
+    (b"\xff\xfe\x00" * 1000, "invalid JSON: invalid character at byte 0; expected an object"),
+    (b"[" * 1_000_000, "invalid JSON: nested too deep; expected an object"),
+    (b"[" * 5_000 + b"]" * 5_000, "invalid JSON: nested too deep; expected an object"),
     (b"{" * (MAX_CONFIG_BYTES + 1), f"is too large: expected at most {MAX_CONFIG_BYTES} bytes"),
     *((json.dumps(raw).encode(), message) for raw, message in INVALID_CONFIGURATIONS if raw != ""),
 ]
-"""Contents of files that cannot be used, and what the error says of each."""
+"""Contents of invalid files, each with a part of its error message."""
 
 
 def load(text: str | bytes, previous: Config | None = None) -> Config:
-    """Read a file with this text, beside a configuration in force where one is given."""
+    """Load a file with this content: as on a reload if `previous` is given, else as at a start."""
     with tempfile.NamedTemporaryFile() as file:
         file.write(text if isinstance(text, bytes) else text.encode("utf-8", "surrogatepass"))
         file.flush()
@@ -44,7 +44,7 @@
 
 
 def with_tenants(count: int) -> dict[str, Any]:
-    """Return the valid file's object with so many tenants."""
+    """Return the valid document with `count` tenants."""
     document: dict[str, Any] = copy.deepcopy(VALID)
     tenants = [{"name": f"t{index}", "allowancePerS": index} for index in range(count)]
     document["settings"]["tenants"] = tenants
--- a/tests/config/test_file.py
+++ b/tests/config/test_file.py
@@ -1,4 +1,4 @@
-"""The configuration file: whatever stands in it, a configuration or one line; what is equal is kept."""
+"""Loading of the configuration file: errors are one line, and a reload reuses equal objects."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
                 case _:
                     container[last_key] = copy.deepcopy(draw(st.sampled_from(UNUSUAL_VALUES)))
         except (KeyError, IndexError, TypeError):
-            continue  # an earlier change took it away
+            continue  # an earlier mutation removed it
     text = json.dumps(document).encode()
     if draw(st.integers(0, 3)):
         return text
@@ -76,7 +76,7 @@
         with pytest.raises(ConfigError):
             load(text, previous)
     else:
-        reread = load(text, previous)  # reading beside a configuration gives what reading alone does
+        reread = load(text, previous)  # a reload gives the same configuration as a start
         assert replace(config, cached_endpoint_list={}) == reread
 
 
--- a/tests/config/test_json_document.py
+++ b/tests/config/test_json_document.py
@@ -1,4 +1,4 @@
-"""JSON that cannot be decoded: where it goes wrong, and every error of a value."""
+"""Decoding of JSON: the path of a syntax error, and all errors of a value."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
         "lanes[2].giveUpUs: is missing; expected a number",
         "lanes[2].aimUs: expected a number of at least 1",
         "lanes[2].effect: expected free or guarded or single_shot, got 'odd'",
-        "lanes[2].streamed: expected true or false, got text",
+        "lanes[2].streamed: expected true or false, got a string",
     ]
 
 
--- a/tests/config/test_models.py
+++ b/tests/config/test_models.py
@@ -1,4 +1,4 @@
-"""The operators' vocabulary: each table covers all words of its field and all terms of its enum."""
+"""The settings models: each table covers all JSON values of its field and all members of its enum."""
 
 from __future__ import annotations
 
--- a/tests/gateway/test_process_start.py
+++ b/tests/gateway/test_process_start.py
@@ -42,35 +42,38 @@
 
 
 INVALID_CONFIGURATIONS: list[tuple[object, str]] = [
-    (without("name"), "name: is missing; expected text"),
+    (without("name"), "name: is missing; expected a string"),
     (without("listen"), f"listen: {ADDRESS}"),
     (without("discovery"), f"discovery: {ADDRESS}"),
     (without("settings"), "settings: is missing"),
-    (configuration({}, "127.0.0.1:1", settings={"lanes": []}), "settings.lanes: expected at least one"),
+    (
+        configuration({}, "127.0.0.1:1", settings={"lanes": []}),
+        "settings.lanes: expected at least one request class, got none",
+    ),
     (configuration({}, "127.0.0.1:1", seed="none"), "seed: expected a number"),
     (
         configuration({}, "127.0.0.1:1", limits={"sockets": 3}),
-        "limits.sockets: expected a whole number of",
+        "limits.sockets: expected an integer of",
     ),
-    (configuration({}, "127.0.0.1:1", limits=7), "limits: expected an object, got a whole number"),
+    (configuration({}, "127.0.0.1:1", limits=7), "limits: expected an object, got an integer"),
     (configuration({}, "127.0.0.1:1", known=[]), "known: expected an object, got a list"),
     (
         configuration({}, "127.0.0.1:1", known={"endpoints": {}}),
         "known.endpoints: expected a list, got an obj",
     ),
     (configuration({}, "127.0.0.1:1", peers=["here"]), f"peers[0]: {ADDRESS}, got 'here'"),
-    (configuration({}, "127.0.0.1:1", peers=7), "peers: expected a list, got a whole number"),
-    (with_settings(zones=[7]), "settings.zones[0]: expected text, got a whole number"),
-    (with_settings(zones=7), "settings.zones: expected a list, got a whole number"),
-    (with_settings(lanes=[{"giveUpUs": 1}]), "settings.lanes[0].name: is missing; expected text"),
+    (configuration({}, "127.0.0.1:1", peers=7), "peers: expected a list, got an integer"),
+    (with_settings(zones=[7]), "settings.zones[0]: expected a string, got an integer"),
+    (with_settings(zones=7), "settings.zones: expected a list, got an integer"),
+    (with_settings(lanes=[{"giveUpUs": 1}]), "settings.lanes[0].name: is missing; expected a string"),
     (
         with_settings(tenants=DUPLICATE_TENANTS),
-        "settings.tenants[1].name: expected a name of its own, got 't' as at [0]",
+        "settings.tenants[1].name: expected a unique name, got 't', already used at [0]",
     ),
-    (with_settings(balancers=1, index=1), "settings.index: expected a number below balancers, 1, got 1"),
-    (with_settings(zone=2), "settings.zone: expected the place of one of 2 zones, from 0, got 2"),
+    (with_settings(balancers=1, index=1), "settings.index: expected an index below balancers (1), got 1"),
+    (with_settings(zone=2), "settings.zone: expected an index below the number of zones (2), got 2"),
     ([], "expected an object, got a list"),
-    ("", "not JSON: it ends in the middle at byte 1; expected an object"),
+    ("", "invalid JSON: unexpected end of input at byte 1; expected an object"),
 ]
 
 
--- a/tests/gateway/test_reload.py
+++ b/tests/gateway/test_reload.py
@@ -60,7 +60,7 @@
 
 
 UNUSABLE_FILES: list[tuple[str, Callable[[str], str]]] = [
-    ("ends in the middle", lambda text: text[:-9]),
+    ("unexpected end of input", lambda text: text[:-9]),
     (
         "settings.lanes[0].windowUs: expected a finite number, got NaN",
         lambda text: text.replace("60000000", "NaN", 1),
--- a/tests/simulator/script.py
+++ b/tests/simulator/script.py
@@ -1,4 +1,4 @@
-"""Lines that the simulator sends, and a short way to have them answered."""
+"""Example lines of the simulator, and a function that runs the adapter on lines."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def run_adapter(*lines: str) -> tuple[list[str], str]:
-    """Return the reply's lines and what was reported on standard error."""
+    """Return the lines of the replies, and the text that the adapter reports as errors."""
     sink, errors = io.StringIO(), io.StringIO()
     SimulatorAdapter(io.StringIO("\n".join(lines) + "\n"), sink, errors).run()
     return sink.getvalue().splitlines(), errors.getvalue()
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: a scripted exchange, bad lines, instances that stop and start."""
+"""The simulator adapter: invalid lines, stopped instances, and equal output for equal input."""
 
 from __future__ import annotations
 
@@ -51,9 +51,9 @@
         ("registry index=1 how=diff table=9", "field or value '9' is missing or unknown"),
         ("incoming requestId=t/a graceUs=soon", "invalid literal for int() with base 10: 'soon'"),
         ("incoming requestId=t/a graceUs=9 affinity=x", "invalid literal for int() with base 16: 'x'"),
-        ("inbox src=1 bytes=a", "bytes are not base64: "),
-        ("dropped requestId", "'requestId' is not name=value"),
-        ("nonsense a=1", "unknown event"),
+        ("inbox src=1 bytes=a", "bytes is not valid base64: "),
+        ("dropped requestId", "expected name=value, got 'requestId'"),
+        ("nonsense a=1", "unknown message name"),
     ],
 )
 def test_an_invalid_line_is_reported_with_number_reason_and_text(line: str, reason: str) -> None:
@@ -68,7 +68,7 @@
         ("host host=1 heft=0", "heft is not a finite number above 0"),
         ("host host=1 heft=odd", "could not convert string to float: 'odd'"),
         ("host host=1 status=Odd", "field or value 'Odd' is missing or unknown"),
-        ("incoming requestId=t/a graceUs=9", "not a list entry"),
+        ("incoming requestId=t/a graceUs=9", "expected an endpoint of the table"),
     ],
 )
 def test_an_invalid_entry_of_an_endpoint_table_is_reported(entry: str, reason: str) -> None:
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -1,4 +1,4 @@
-"""Lines of the wire, read and written."""
+"""The simulator's text protocol: lines parsed to events, and actions formatted as lines."""
 
 from __future__ import annotations
 
--- a/tests/simulator/test_settings.py
+++ b/tests/simulator/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings from the wire: all of them reach the decisions, and what cannot be used is named by its path."""
+"""Settings in a launch message: all are converted, and an invalid one is reported by its JSON path."""
 
 from __future__ import annotations
 
@@ -48,12 +48,12 @@
 @pytest.mark.parametrize(
     ("text", "message"),
     [
-        ("{}", "lanes: expected at least one"),
+        ("{}", "lanes: expected at least one request class, got none"),
         ("[]", "expected an object, got a list"),
-        ("{", "not JSON: it ends in the middle"),
+        ("{", "invalid JSON: unexpected end of input"),
         ('{"lanes": [{"giveUpUs": 1}], "caps": {"peers": true', "in caps.peers; expected an object"),
         ('{"lanes": [{}]}', "lanes[0].giveUpUs: is missing; expected a number"),
-        ('{"lanes": [5]}', "lanes[0]: expected an object, got a whole number"),
+        ('{"lanes": [5]}', "lanes[0]: expected an object, got an integer"),
         ('{"lanes": [{"giveUpUs": -1}]}', "lanes[0].giveUpUs: expected a number of at least 1"),
         ('{"lanes": [{"giveUpUs": 0}]}', "lanes[0].giveUpUs: expected a number of at least 1"),
         ('{"lanes": [{"giveUpUs": 1, "aimUs": 0}]}', "lanes[0].aimUs: expected a number of at least 1"),
@@ -63,9 +63,12 @@
         ),
         (
             f'{{{ONE_CLASS}, "caps": {{"maxAttempts": "four"}}}}',
-            "caps.maxAttempts: expected a number, got text",
+            "caps.maxAttempts: expected a number, got a string",
+        ),
+        (
+            f'{{{ONE_CLASS}, "caps": {{"probes": "yes"}}}}',
+            "caps.probes: expected true or false, got a string",
         ),
-        (f'{{{ONE_CLASS}, "caps": {{"probes": "yes"}}}}', "caps.probes: expected true or false, got text"),
         (f'{{{ONE_CLASS}, "prices": {{"waste": NaN}}}}', "prices.waste: expected a finite number, got NaN"),
         (
             f'{{{ONE_CLASS}, "prices": {{"waste": -Infinity}}}}',
@@ -78,20 +81,23 @@
         ),
         (
             f'{{{ONE_CLASS}, "tenants": [{DUPLICATE_TENANTS}]}}',
-            "tenants[1].name: expected a name of its own, got 't'",
+            "tenants[1].name: expected a unique name, got 't'",
+        ),
+        (f'{{{ONE_CLASS}, "zones": ["z", "z"]}}', "zones[1]: expected a unique name, got 'z'"),
+        (
+            f'{{{ONE_CLASS}, "zones": ["z"], "zone": 1}}',
+            "zone: expected an index below the number of zones (1)",
         ),
-        (f'{{{ONE_CLASS}, "zones": ["z", "z"]}}', "zones[1]: expected a name of its own, got 'z'"),
-        (f'{{{ONE_CLASS}, "zones": ["z"], "zone": 1}}', "zone: expected the place of one of 1 zones"),
         (
             f'{{{ONE_CLASS}, "balancers": 2, "index": 2}}',
-            "index: expected a number below balancers, 2, got 2",
+            "index: expected an index below balancers (2), got 2",
         ),
         (
             f'{{{ONE_CLASS}, "report": {{"how": "odd"}}}}',
             "report.how: expected silent or piggyback or pull",
         ),
-        (f'{{{ONE_CLASS}, "contract": 5}}', "contract: expected an object, got a whole number"),
-        ('{"lanes": 5}', "lanes: expected a list, got a whole number"),
+        (f'{{{ONE_CLASS}, "contract": 5}}', "contract: expected an object, got an integer"),
+        ('{"lanes": 5}', "lanes: expected a list, got an integer"),
         ('{"lanes": [{"giveUpUs": 1, "effect": "odd"}]}', "lanes[0].effect: expected free or guarded or"),
     ],
 )
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The commands for operators: what they print, and their exit codes."""
+"""The check, show and diff commands: their output and exit codes."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @pytest.fixture
 def document() -> dict[str, Any]:
-    """The valid file's object, to be changed."""
+    """A copy of the valid document, which a test may change."""
     return copy.deepcopy(VALID)
 
 
@@ -70,7 +70,7 @@
 
 @pytest.fixture
 def minimal_file(path: Path) -> Path:
-    """A file with nothing but what must be there."""
+    """A file with the required fields only."""
     minimal = {key: VALID[key] for key in ("name", "listen", "discovery")}
     path.write_text(json.dumps(minimal | {"settings": {"lanes": [{"name": "a", "giveUpUs": 9.0}]}}))
     return path
@@ -94,17 +94,17 @@
 def test_diff_of_a_file_with_itself_lists_no_changes() -> None:
     output = run_command("diff", EXAMPLE, EXAMPLE).stdout.splitlines()
     assert output == [
-        "routes: 0 added, 0 removed, 0 changed, 3 as before",
-        "tenants: 0 added, 0 removed, 0 changed, 2 as before",
+        "request classes: 0 added, 0 removed, 0 changed, 3 unchanged",
+        "tenants: 0 added, 0 removed, 0 changed, 2 unchanged",
     ]
 
 
 @pytest.fixture
 def changed_document(document: dict[str, Any]) -> dict[str, Any]:
-    """The object with a class added and one changed, a tenant removed, and other settings changed."""
+    """The valid document with a class added and one changed, a tenant removed, and other settings changed."""
     classes, tenants = document["settings"]["lanes"], document["settings"]["tenants"]
     classes[2]["aimUs"] = 500_000
-    classes.insert(0, {"name": "list-stops", "giveUpUs": 5})  # every other one has another index
+    classes.insert(0, {"name": "list-stops", "giveUpUs": 5})  # changes the index of all other classes
     del tenants[0]
     document["settings"]["caps"]["maxAttempts"] = 3
     return document | {"seed": "1", "discovery": "127.0.0.3:1"}
@@ -114,17 +114,17 @@
     path.write_text(json.dumps(changed_document))
     lines = run_command("diff", EXAMPLE, path).stdout.splitlines()
     assert lines == [
-        "routes: 1 added, 0 removed, 1 changed, 2 as before",
+        "request classes: 1 added, 0 removed, 1 changed, 2 unchanged",
         "  + list-stops",
-        "  ~ buy-ticket: aimUs 600000 -> 500000; its state starts anew",
-        "tenants: 0 added, 1 removed, 0 changed, 1 as before",
-        "  - harbour-line: its state is dropped",
-        "other settings, in force at once:",
+        "  ~ buy-ticket: aimUs 600000 -> 500000; its state is reset",
+        "tenants: 0 added, 1 removed, 0 changed, 1 unchanged",
+        "  - harbour-line: its state is discarded",
+        "other settings, applied immediately:",
         "  ~ caps.maxAttempts 4 -> 3",
-        "in force at once:",
+        "applied immediately:",
         '  ~ discovery "127.0.0.2:8500" -> "127.0.0.3:1"',
         '  ~ peers [] -> ["127.0.0.1:2"]',
-        "only at the next start:",
+        "applied at the next start only:",
         '  ~ seed "5eed" -> "1"',
     ]
 
@@ -133,7 +133,7 @@
     settings = changed_document["settings"]
     settings["zones"] = [*settings.get("zones", []), "another"]
     path.write_text(json.dumps(changed_document | {"limits": {"sockets": 200}}))
-    prefix = "refused by a gateway that runs with OLD, as only a new process can change it: "
+    prefix = "rejected by a gateway running with OLD; these settings need a restart: "
     last_line = run_command("diff", EXAMPLE, path).stdout.splitlines()[-1]
     assert last_line == prefix + "limits.sockets, settings.zones"
 
