--- a/tests/config/test_models.py
+++ b/tests/config/test_models.py
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize(
-    ("table", "words", "terms"),
+    ("table", "json_values", "members"),
     [
         (IDEMPOTENCY, IdempotencyValue, Idempotency),
         (DEDUPLICATION_SCOPES, DeduplicationScopeValue, DeduplicationScope),
