--- a/load_balancer/decisions/admission.py
+++ b/load_balancer/decisions/admission.py
@@ -124,7 +124,7 @@
         self.mean_priority_weight = weight_sum / total or 1.0
         served = [demand.served.get(class_id, 0.0) / count for class_id, count in demand_by_class.items()]
         if len(served) < len(by_id):
-            served.append(1.0)  # a class without demand counts as fully served
+            served.append(1.0)  # A class without demand counts as fully served.
         self.worst_served_share = min(served)
         parts = [
             (self.priority(by_id[class_id], over_quota), count * by_id[class_id].unloaded_us)
--- a/load_balancer/decisions/latency.py
+++ b/load_balancer/decisions/latency.py
@@ -30,7 +30,7 @@
         answer_count: Number of successful answers so far.
         mean_work_us: Smoothed work as hinted by clients, in microseconds; 0 before the first hint.
         first_try_timeout_us: The timeout that clients set for a first try, found by majority vote.
-        timeout_votes: Votes for `first_try_timeout_us` minus votes for other timeouts.
+        timeout_votes: Votes for `first_try_timeout_us` minus votes against it since it last changed.
     """
 
     __slots__ = (
--- a/load_balancer/decisions/picker.py
+++ b/load_balancer/decisions/picker.py
@@ -22,7 +22,7 @@
 
 # Share of failed requests at an endpoint that lowers its weight as much as one attempt in flight.
 ERROR_SHARE_UNIT = 0.1
-# Factor on the weight of a key's preferred endpoint, which then receives most of the key's requests.
+# Factor on the weight of a key's preferred endpoint, which receives most of the key's requests, not all.
 KEY_AFFINITY_BOOST = 20.0
 
 WeightedEndpoints = list[tuple[float, EndpointState]]
--- a/load_balancer/decisions/slow_start.py
+++ b/load_balancer/decisions/slow_start.py
@@ -30,8 +30,8 @@
     """Return this gateway's part of the work that may be sent to an endpoint of full capacity in a window.
 
     The parts of all gateways that have the endpoint in their subset add up to the used share of the budget.
-    A bucket that has half the budget as its size and drains half the budget per window never lets more than
-    the whole budget be sent in any window.
+    A bucket with a size of half the budget that drains half the budget per window keeps the work sent in any
+    window within the whole budget.
     """
     sharing_gateways = max(1.0, settings.gateways * min(1.0, subset_size / max(1, endpoint_count)))
     return OVERLOAD_BUDGET_SHARE * settings.overload_multiple * settings.overload_window_us / sharing_gateways
