--- a/load_balancer/decisions/load_reports.py
+++ b/load_balancer/decisions/load_reports.py
@@ -22,7 +22,7 @@
 
 
 class LoadReports:
-    """The reported service time of all endpoints, to which each endpoint's own is compared.
+    """Applies load reports to the state of endpoints, and smooths the service times that they all report.
 
     Attributes:
         service_ms: Smoothed service time from all reports, in milliseconds; 0 before the first.
--- a/load_balancer/decisions/slow_start.py
+++ b/load_balancer/decisions/slow_start.py
@@ -42,6 +42,8 @@
 ) -> bool:
     """Drain the bucket of an endpoint in slow start, and return whether a request fits into it.
 
+    An empty bucket accepts any request.
+
     Args:
         endpoint: The endpoint.
         request: The request.
