--- a/load_balancer/decisions/circuit_breaker.py
+++ b/load_balancer/decisions/circuit_breaker.py
@@ -4,10 +4,9 @@
 attempt is sent while it is open. After a cooldown it is half-open and allows `HALF_OPEN_TRIALS` attempts as
 trials, whose outcomes close it or open it again.
 
-A breaker is created at the first outcome for its key, as a large fleet has too many combinations of endpoint,
-class and tenant to store one for each. A missing breaker is equivalent to a new one, which is closed and has
-no outcomes. The registry updates totals over all breakers as they change, so that no decision has to iterate
-over all endpoints, classes or tenants.
+A breaker is created at the first outcome for its key, as there are too many combinations of endpoint, class
+and tenant to store one for each. A missing breaker is equivalent to a new one: closed and without outcomes.
+The registry maintains totals, so that no decision iterates over all endpoints, classes or tenants.
 """
 
 from __future__ import annotations
@@ -18,11 +17,9 @@
 
 from load_balancer.decisions.settings_version import SettingsVersion
 
-# Outcomes in the sliding window: those of a second or less of one gateway's traffic to one endpoint.
-RING_SIZE = 10
+RING_SIZE = 10  # Outcomes in the window: a second or less of one gateway's traffic to one endpoint.
 MINIMUM_OUTCOMES = 5  # Outcomes that the window must contain before failures may open the breaker.
-# Share of failures that opens the breaker, on a scale from the fleet's share of failures to all outcomes.
-FAILURE_THRESHOLD = 0.5
+FAILURE_THRESHOLD = 0.5  # Share of failures that opens the breaker, beyond the share of the whole fleet.
 HALF_OPEN_TRIALS = 3  # Trials of a half-open breaker, whose outcomes close it or open it again.
 INITIAL_COOLDOWN_US = 1_000_000  # The cooldown doubles each time that trials open the breaker again.
 MAX_COOLDOWN_US = 8_000_000
@@ -97,10 +94,7 @@
         self.trial_results: tuple[bool, ...] = ()
 
     def allows_attempt(self, now_us: int) -> bool:
-        """Return whether an attempt may be sent: the breaker is closed, or half-open with trials left.
-
-        An open breaker whose cooldown is over becomes half-open first.
-        """
+        """Return whether an attempt may be sent; an open breaker whose cooldown is over becomes half-open."""
         if self.state is BreakerState.CLOSED:
             return True
         if self.state is BreakerState.OPEN:
@@ -110,11 +104,7 @@
         return self.trials_in_flight + len(self.trial_results) < HALF_OPEN_TRIALS
 
     def acquire_trial(self) -> int:
-        """Count a new attempt as a trial if half-open.
-
-        Returns:
-            The number of the half-open period, or 0 if the breaker is not half-open.
-        """
+        """Count an attempt as a trial if half-open; return the half-open period, or 0 if it is no trial."""
         if self.state is not BreakerState.HALF_OPEN:
             return 0
         self.trials_in_flight += 1
@@ -153,8 +143,7 @@
         registry.remove(self)
         self.state = BreakerState.HALF_OPEN
         registry.insert(self)
-        # The number is unique among all breakers, so that trials of a dropped breaker never match.
-        registry.half_open_period_count += 1
+        registry.half_open_period_count += 1  # Unique, so that trials of a dropped breaker never match.
         self.half_open_period = registry.half_open_period_count
         self.trials_in_flight = 0
         self.trial_results = ()
@@ -285,10 +274,7 @@
                 self._drop(breaker)
 
     def failure_share(self, key: int, excluded: CircuitBreaker | None) -> float:
-        """Return the share of failures in the windows of a key's closed breakers, without `excluded`.
-
-        It is 0 if there are no outcomes.
-        """
+        """Return the share of failures of a key's closed breakers without `excluded`; 0 without outcomes."""
         outcomes, failures = self.totals.get(key, (0, 0))
         if excluded is not None and excluded.state is BreakerState.CLOSED and excluded.registry is self:
             outcomes -= len(excluded.window)
--- a/load_balancer/decisions/settings.py
+++ b/load_balancer/decisions/settings.py
@@ -16,28 +16,16 @@
 
 
 class Idempotency(Enum):
-    """The effect of executing a request a second time.
+    """The effect of executing a request a second time."""
 
-    Attributes:
-        IDEMPOTENT: None; the request may be repeated any number of times.
-        IDEMPOTENCY_KEY: None, if the repetition reaches an endpoint of the same deduplication scope within
-            the deduplication window; the endpoints recognize it by its idempotency key.
-        NON_IDEMPOTENT: The request would take effect twice.
-    """
-
-    IDEMPOTENT = "idempotent"
+    IDEMPOTENT = "idempotent"  # There is none: the request may be repeated any number of times.
+    # There is none at endpoints of the same deduplication scope within the deduplication window.
     IDEMPOTENCY_KEY = "idempotency_key"
-    NON_IDEMPOTENT = "non_idempotent"
+    NON_IDEMPOTENT = "non_idempotent"  # The request takes effect twice.
 
 
 class DeduplicationScope(Enum):
-    """Which endpoints recognize a repetition of a request that another one has received.
-
-    Attributes:
-        ALL: All endpoints of the service.
-        ZONE: The endpoints of one zone.
-        GROUP: The endpoints of one deduplication group.
-    """
+    """Which endpoints recognize a repetition of a request that another one has received."""
 
     ALL = "all"
     ZONE = "zone"
@@ -45,17 +33,11 @@
 
 
 class LoadReportMode(Enum):
-    """Which messages of an endpoint carry load reports.
-
-    Attributes:
-        NONE: There are no load reports.
-        RESPONSES: Some answers and health checks carry a report.
-        HEALTH_CHECKS: Only health checks carry reports.
-    """
+    """Which messages of an endpoint carry load reports."""
 
     NONE = "none"
-    RESPONSES = "responses"
-    HEALTH_CHECKS = "health_checks"
+    RESPONSES = "responses"  # Some answers and health checks carry a report.
+    HEALTH_CHECKS = "health_checks"  # Only health checks carry reports.
 
 
 def _check_numbers(settings: object, minimum: Mapping[str, float], shares: tuple[str, ...] = ()) -> None:
@@ -135,34 +117,21 @@
 class Prices:
     """The price of a unit of each cost. Only `cross_zone` affects decisions; the others are not used yet.
 
-    Attributes:
-        cross_zone: Price of attempts that cross zones, per first attempt.
-        waste: Price of endpoint work that served no answer, per work offered.
-        late_failure: Price of weight that is unserved after its objective, per weight offered.
-        connection: Price of the mean number of open connections, per 100 for each endpoint.
-        handshake: Price of new connections, per first attempt.
-        health_check: Price of health checks, per first attempt.
-        peer_message: Price of message bytes delivered, per 256 for each first attempt.
-        endpoint_list_lines: Price of endpoint list lines sent, per 100 for each first attempt.
-        origin: Price of fetches from an origin, per first attempt.
-        migrations: Price of migrations, per first attempt.
-        fleet: Price that is due in full when as many endpoints run or are ordered as at the start.
-
     Raises:
         SettingsError: A price is not finite or below 0.
     """
 
-    cross_zone: float = 0.0
-    waste: float = 0.0
-    late_failure: float = 0.0
-    connection: float = 0.0
-    handshake: float = 0.0
-    health_check: float = 0.0
-    peer_message: float = 0.0
-    endpoint_list_lines: float = 0.0
-    origin: float = 0.0
-    migrations: float = 0.0
-    fleet: float = 0.0
+    cross_zone: float = 0.0  # Price of attempts that cross zones, per first attempt.
+    waste: float = 0.0  # Price of endpoint work that served no answer, per work offered.
+    late_failure: float = 0.0  # Price of weight that is unserved after its objective, per weight offered.
+    connection: float = 0.0  # Price of the mean number of open connections, per 100 for each endpoint.
+    handshake: float = 0.0  # Price of new connections, per first attempt.
+    health_check: float = 0.0  # Price of health checks, per first attempt.
+    peer_message: float = 0.0  # Price of message bytes delivered, per 256 for each first attempt.
+    endpoint_list_lines: float = 0.0  # Price of endpoint list lines sent, per 100 for each first attempt.
+    origin: float = 0.0  # Price of fetches from an origin, per first attempt.
+    migrations: float = 0.0  # Price of migrations, per first attempt.
+    fleet: float = 0.0  # Price, due in full if as many endpoints run or are ordered as at the start.
 
     def __post_init__(self) -> None:
         _check_numbers(self, dict.fromkeys(self.__slots__, 0))
