--- a/tests/gateway/configurations.py
+++ b/tests/gateway/configurations.py
@@ -1,4 +1,4 @@
-"""Configurations of gateways under test, as the documents that the parser reads."""
+"""Configuration documents for gateways under test."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 
 
 def request_class_settings(name: str, effect: str) -> dict[str, object]:
+    """Return the settings of a request class, with every time at 60 s."""
     return {
         "name": name,
         "effect": effect,
@@ -20,6 +21,7 @@
 
 
 def settings(**caps: object) -> dict[str, object]:
+    """Return settings with one request class of each effect; the arguments are added to `caps`."""
     return {
         "lanes": [
             request_class_settings("look", "free"),
@@ -41,6 +43,7 @@
 
 
 def configuration(endpoints: dict[str, str], discovery_address: str, **overrides: Any) -> dict[str, Any]:
+    """Return a configuration document whose cached list has these endpoints, by name and address."""
     return {
         "name": "n0",
         "listen": "127.0.0.1:0",
--- a/tests/gateway/conftest.py
+++ b/tests/gateway/conftest.py
@@ -1,4 +1,4 @@
-"""Runs tests that are coroutines on the event loop of the gateway."""
+"""Runs coroutine tests on the event loop that the gateway uses."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_pyfunc_call(pyfuncitem: pytest.Function) -> bool | None:
-    """Run a coroutine function to its end within the time that a test has."""
+    """Run a coroutine test to its end, within the time limit; leave other tests to pytest."""
     if not inspect.iscoroutinefunction(pyfuncitem.obj):
         return None
     names = inspect.signature(pyfuncitem.obj).parameters
--- a/tests/gateway/discovery_helpers.py
+++ b/tests/gateway/discovery_helpers.py
@@ -1,4 +1,4 @@
-"""Gateways under watch events of a discovery that the test writes."""
+"""Gateways whose watch events the test writes, and the endpoint lists that they receive."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @asynccontextmanager
 async def gateway_with_watch(**overrides: Any) -> AsyncIterator[tuple[RunningGateway, asyncio.StreamWriter]]:
-    """A gateway that has its cached list, and discovery's side of its first watch."""
+    """Run a gateway that has handled its cached list; yields it and the stub's side of its first watch."""
     async with running_gateway(**overrides) as gateway:
         await next_list(gateway)
         _, watch = await gateway.discovery.watches.get()
@@ -25,7 +25,7 @@
 
 @asynccontextmanager
 async def other_discovery() -> AsyncIterator[StubDiscovery]:
-    """Discovery at another address."""
+    """Run another stub of discovery, at an address of its own."""
     discovery = StubDiscovery()
     await discovery.start()
     try:
@@ -35,7 +35,7 @@
 
 
 async def next_list(gateway: RunningGateway) -> tuple[ListKind, list[str]]:
-    """The next list event: its kind and its endpoints' states, by name."""
+    """Wait for the next list event; returns its kind and the name and status of each of its endpoints."""
     event = await gateway.wait_for_event(EndpointListReceived)
     names = {endpoint_id_of(f"h{n}"): f"h{n}" for n in range(9)}
     return event.kind, [f"{names[s.id]} {s.status.value}" for s in event.endpoints]
--- a/tests/gateway/event_loop.py
+++ b/tests/gateway/event_loop.py
@@ -9,19 +9,19 @@
 
 import uvloop
 
-TEST_TIMEOUT_S = 30.0  # reached by a test that hangs only
+TEST_TIMEOUT_S = 30.0  # reached only by a test that hangs
 
 P = ParamSpec("P")
 
 
 def run_in_event_loop(test: Coroutine[Any, Any, None]) -> None:
-    """Run a test to its end; TimeoutError after TEST_TIMEOUT_S."""
+    """Run a test to its end; raises TimeoutError after `TEST_TIMEOUT_S`."""
 
     async def run_with_time_limit() -> None:
         async with asyncio.timeout(TEST_TIMEOUT_S):
             await test
 
-    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:  # the loop that the gateway runs on
+    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:  # as the gateway uses
         runner.run(run_with_time_limit())
 
 
--- a/tests/gateway/http_client.py
+++ b/tests/gateway/http_client.py
@@ -11,7 +11,7 @@
 def encode_request(
     request_class: str = "look", method: str = "", body: bytes = b"", **headers: str | None
 ) -> bytes:
-    """A request of the class; a header of None is left out."""
+    """Encode a request of a class with default headers; a header given as None is left out."""
     header_values: dict[str, str | None] = {
         "Host": "service.internal",
         "Request-Id": "0123abcd",
--- a/tests/gateway/process_helpers.py
+++ b/tests/gateway/process_helpers.py
@@ -1,4 +1,4 @@
-"""Gateways as processes of their own."""
+"""Gateways that run in processes of their own."""
 
 from __future__ import annotations
 
@@ -19,6 +19,7 @@
 
 
 def run_process(path: Path | str, **environ: str) -> subprocess.CompletedProcess[str]:
+    """Run a gateway's process until it exits; of the ROUTER_ variables it has only those given here."""
     env = {k: v for k, v in os.environ.items() if not k.startswith("ROUTER_")} | environ
     return subprocess.run(
         [sys.executable, "-m", "load_balancer"],
@@ -33,7 +34,7 @@
 async def start_process(
     path: Path, **environ: str
 ) -> tuple[asyncio.subprocess.Process, asyncio.StreamReader]:
-    """A gateway's process, with ROUTER_CONFIG set to the path, and its standard error."""
+    """Start a gateway's process with ROUTER_CONFIG set to the path; returns it and its standard error."""
     child = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -50,7 +51,7 @@
 
 
 async def expect_final_answer(client: HttpClient, status: int = 200) -> None:
-    """The answer says that the connection closes, and it does."""
+    """Read an answer that announces the close of its connection, and expect that close."""
     actual, head, _ = await client.read_response()
     assert actual == status
     assert head["connection"] == "close"
--- a/tests/gateway/reload_helpers.py
+++ b/tests/gateway/reload_helpers.py
@@ -1,4 +1,4 @@
-"""Gateways whose configuration is read again from a file."""
+"""Gateways whose configuration file is read again while they run."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
 @asynccontextmanager
 async def reloadable_gateway(tmp_path: Path) -> AsyncIterator[ReloadableGateway]:
-    """A gateway whose configuration stands in a file."""
+    """Run a gateway whose configuration is in a file, with two endpoints at one stub."""
     async with running_gateway(endpoint_count=2, settings=INITIAL_SETTINGS) as gateway:
         raw_config = configuration(
             {"h0": gateway.endpoint.address}, gateway.discovery.address, settings=INITIAL_SETTINGS
@@ -79,12 +79,13 @@
 
 
 def logged_config_events(caplog: pytest.LogCaptureFixture) -> list[dict[str, Any]]:
+    """Return the `config.*` events that were logged."""
     events: list[Any] = [record.msg for record in caplog.records if isinstance(record.msg, dict)]
     return [event for event in events if event["event"].startswith("config.")]
 
 
 def settings_with_classes(*names: str, **overrides: Any) -> dict[str, Any]:
-    """Settings with classes of those names, idempotent ones but for `buy`."""
+    """Return settings with classes of these names, all idempotent except `buy`."""
     class_settings = [
         request_class_settings(name, "single_shot" if name == "buy" else "free") for name in names
     ]
@@ -92,7 +93,10 @@
 
 
 def pause_config_reads(monkeypatch: pytest.MonkeyPatch) -> tuple[list[Config | None], asyncio.Event]:
-    """Readings go on only once the event is set; returns what each began with."""
+    """Pause each read of the configuration until the returned event is set.
+
+    Also returns a list, to which each read adds the configuration in force when it begins.
+    """
     previous_configs: list[Config | None] = []
     resume = asyncio.Event()
 
@@ -101,7 +105,7 @@
     ) -> Generator[None, None, Config]:
         previous_configs.append(previous)
         steps = load_config_steps(environ, previous)
-        next(steps)  # the file is open, and as it was
+        next(steps)  # opens the file, so that a later replacement is not read
         while not resume.is_set():
             yield
         return (yield from steps)
--- a/tests/gateway/running_gateway.py
+++ b/tests/gateway/running_gateway.py
@@ -28,7 +28,7 @@
 
 @dataclass
 class RunningGateway:
-    """The gateway's parts, the stubs on both sides and the events that its balancer handled."""
+    """A gateway, the stubs that it connects to and the events that its balancer has handled."""
 
     proxy: ReverseProxy
     client_server: ClientServer
@@ -67,7 +67,7 @@
         assert (await client.read_response())[0] == 200
 
     def stop_reading(self, client: HttpClient) -> ClientConnection:
-        """Stop reading at the client; returns its connection at the gateway, with a small send buffer."""
+        """Stop reading at the client and shrink the gateway's send buffer; returns its connection there."""
         (connection,) = self.client_server.connections
         assert connection.transport is not None
         gateway_socket = connection.transport.get_extra_info("socket")
@@ -89,7 +89,7 @@
 async def running_gateway(
     endpoint_count: int = 1, reuse_delay_s: float = 0.0, **overrides: Any
 ) -> AsyncIterator[RunningGateway]:
-    """Run a gateway whose list has that many endpoints `h0`, `h1`, ..., all at the address of one stub."""
+    """Run a gateway with endpoints `h0`, `h1`, ... in its cached list, all at the address of one stub."""
     endpoint, discovery = StubEndpoint(), StubDiscovery()
     await endpoint.start()
     await discovery.start()
--- a/tests/gateway/scripted_balancer.py
+++ b/tests/gateway/scripted_balancer.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the balancer's decisions, and for the timers of attempts."""
+"""Scripted decisions in place of the balancer's, and time-outs of attempts on demand."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def replace_decisions(gateway: RunningGateway, decide: Callable[[Event], list[Action]]) -> None:
-    """Have a function decide in place of the balancer; events are noted as before."""
+    """Let a function decide in place of the balancer; events are still recorded."""
 
     def handle(now_us: int, event: Event) -> list[Action]:
         del now_us
@@ -24,7 +24,10 @@
 
 
 def script_decisions(gateway: RunningGateway, first_endpoints: list[str], later_endpoint: str) -> None:
-    """Send a request to the first endpoints, and to another after each outcome but a good one."""
+    """Send each new request to the next of the first endpoints, and to the later one after a failed attempt.
+
+    The first attempt is cancelled when the client disconnects.
+    """
     remaining_endpoints = iter(first_endpoints)
 
     def decide(event: Event) -> list[Action]:
@@ -41,7 +44,7 @@
 
 
 def time_out(request: PendingRequest) -> None:
-    """Let the latest attempt of a request time out now."""
+    """End the latest attempt of a request with a time-out now."""
     (attempt,) = request.attempts[-1:]
     assert attempt is not None
     attempt.abandon(Outcome.TIMEOUT)
--- a/tests/gateway/stub_discovery.py
+++ b/tests/gateway/stub_discovery.py
@@ -1,4 +1,4 @@
-"""A discovery service whose watch events the test writes."""
+"""A stub of the discovery service, whose watch events the test writes."""
 
 from __future__ import annotations
 
@@ -30,14 +30,16 @@
 
 
 def encode_chunk(line: str) -> bytes:
-    """One line of a watch as a chunk of the chunked transfer coding."""
+    """Encode text of a watch as one chunk of the chunked transfer coding."""
     data = line.encode()
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
 def endpoint_entry(name: str, address: str, status: str = "active", **extra: object) -> dict[str, object]:
+    """Return an endpoint as the lists of discovery contain it."""
     return {"name": name, "address": address, "zone": "a", "type": "m1", "status": status, **extra}
 
 
 def watch_event(*entries: object, index: int = 1, snapshot: bool = False) -> str:
+    """Return a line with changed endpoints, or with the complete list if `snapshot` is set."""
     return json.dumps({"index": index, "snapshot": snapshot, "endpoints": entries}) + "\n"
--- a/tests/gateway/stub_endpoint.py
+++ b/tests/gateway/stub_endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint that hands each request to the test, which writes the response."""
+"""A stub endpoint that queues each request for the test, which writes the response."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass
 class ReceivedRequest:
-    """A request that the endpoint has read to its end."""
+    """A complete request, and the connection on which it is answered."""
 
     request_line: str
     headers: Headers
@@ -30,14 +30,17 @@
 
 
 class StubEndpoint(StubServer):
-    """Queues the requests it reads; the test responds to each."""
+    """Queues the requests that it reads; the test responds to each.
+
+    Attributes:
+        requests: Requests that the test has not taken from the queue yet.
+        closed_connections: An item for each connection that the gateway has closed.
+    """
 
     def __init__(self) -> None:
         super().__init__()
         self.requests: asyncio.Queue[ReceivedRequest] = asyncio.Queue()
-        self.closed_connections: asyncio.Queue[None] = (
-            asyncio.Queue()
-        )  # one for each connection that the gateway has ended
+        self.closed_connections: asyncio.Queue[None] = asyncio.Queue()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
--- a/tests/gateway/stub_server.py
+++ b/tests/gateway/stub_server.py
@@ -10,20 +10,20 @@
 
 
 def send_now(writer: asyncio.StreamWriter, data: bytes) -> None:
-    """Send in this iteration of the event loop, before any side reads again."""
+    """Send on the socket itself, in this turn of the event loop, before either side reads again."""
     with socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno())) as duplicate:
         duplicate.send(data)
 
 
 def socket_with_small_buffer() -> socket.socket:
-    """A socket whose small receive buffer makes the peer's writes block early."""
+    """Return a socket whose small receive buffer makes the peer's writes block early."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     return sock
 
 
 async def read_head(reader: asyncio.StreamReader) -> tuple[str, Headers]:
-    """The first line and the headers, their names in lower case."""
+    """Read the first line and the headers, whose names are returned in lower case."""
     start_line, *header_lines = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").rstrip().split("\r\n")
     return start_line, {
         name.lower(): value.strip() for name, _, value in (line.partition(":") for line in header_lines)
@@ -31,7 +31,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[str, Headers, bytes]:
-    """The first line, the headers and the body by Content-Length."""
+    """Read the first line, the headers and a body of Content-Length bytes."""
     start_line, headers = await read_head(reader)
     return start_line, headers, await reader.readexactly(int(headers.get("content-length", "0")))
 
@@ -47,7 +47,7 @@
         self.address = ""
 
     def bind(self) -> str:
-        """Take a port, where connections are refused until the start; returns the address."""
+        """Reserve a port, which refuses connections until `start` is called; returns the address."""
         self.sock = socket_with_small_buffer()
         self.sock.bind(("127.0.0.1", 0))
         host, port = self.sock.getsockname()
--- a/tests/gateway/test_attempts.py
+++ b/tests/gateway/test_attempts.py
@@ -1,4 +1,4 @@
-"""Outcomes of attempts: what each way of ending means, reported exactly once."""
+"""Outcomes of attempts: each way in which one can end is reported to the balancer by the right outcome."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
         client.send(encode_request("buy"))
         (await gateway.endpoint.requests.get()).respond_raw(response, close=True)
         assert (await gateway.wait_for_event(AttemptEnded)).outcome is outcome
-        # A request that must not run twice is rejected only where it is sure not to have run.
+        # A request that must not run twice is answered 503 only if it certainly has not run.
         assert (await client.read_response())[0] == (503 if outcome is Outcome.REJECTED else 502)
 
 
@@ -70,7 +70,7 @@
 
 @runs_in_event_loop
 async def test_a_malformed_address_is_reported_as_connect_failed() -> None:
-    """Connecting to it raises no OSError."""
+    """Connecting to it raises ValueError instead of OSError; uncaught, it would leave the attempt open."""
     async with running_gateway() as gateway:
         gateway.proxy.upstream.endpoints[endpoint_id_of("h0")].address = ("a..b", 80)
         assert (await (await gateway.client()).request(encode_request("buy")))[0] == 503
@@ -88,13 +88,16 @@
 
 @runs_in_event_loop
 async def test_a_request_still_in_the_write_buffer_is_reported_as_connect_failed() -> None:
-    """Handed to the transport is not written: the endpoint has read a part, and the rest is never sent."""
+    """The endpoint resets the connection while most of the body is still in the transport's buffer.
+
+    The request cannot have run. Reported as a reset, it would be answered as one that may have run.
+    """
     async with running_gateway() as gateway:
         client = await gateway.client()
         await gateway.serve_request(client)
         (connection,) = gateway.proxy.upstream.connections
         assert connection.transport is not None
-        # No room on either side, so that most of a large body has to wait in the transport.
+        # As the endpoint does not read and the send buffer is small, most of the body stays in the transport.
         connection.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         (writer,) = gateway.endpoint.writers
         writer.transport.pause_reading()  # type: ignore[attr-defined]
@@ -126,10 +129,13 @@
 ]
 
 
-@pytest.mark.parametrize("prefix", ENDLESS_RESPONSES, ids=["head", "chunk extension", "interim answers"])
+@pytest.mark.parametrize("prefix", ENDLESS_RESPONSES, ids=["head", "chunk extension", "interim responses"])
 @runs_in_event_loop
 async def test_an_endless_response_ends_its_attempt(prefix: bytes) -> None:
-    """Bytes are counted that are no whole header and no body."""
+    """The limit on a response counts all of its bytes, and not only complete headers and the body.
+
+    Otherwise an unfinished header, a chunk extension or a series of interim responses could go on for ever.
+    """
     async with running_gateway() as gateway:
         client = await gateway.client()
         client.send(encode_request("buy"))
@@ -149,6 +155,7 @@
 @pytest.mark.parametrize("max_attempts", [2, 1])
 @runs_in_event_loop
 async def test_an_attempt_beyond_the_limit_is_never_sent(max_attempts: int) -> None:
+    """The balancer decides on two attempts at once; the gateway enforces `maxAttempts` on its own."""
     async with running_gateway(settings=settings(maxAttempts=max_attempts)) as gateway:
 
         def send_twice(event: Event) -> list[Action]:
--- a/tests/gateway/test_client_connection.py
+++ b/tests/gateway/test_client_connection.py
@@ -26,7 +26,7 @@
 
 @runs_in_event_loop
 async def test_pipelined_bodies_are_limited() -> None:
-    """Not only their number, or each connection could hold eight bodies."""
+    """Limited by number alone, the queued requests of each connection could hold eight bodies in memory."""
     async with running_gateway() as gateway:
         client = await gateway.client()
         client.send(encode_request() + 9 * encode_request("buy", body=bytes(BODY_LIMIT // 2)))
@@ -41,7 +41,10 @@
 
 @runs_in_event_loop
 async def test_a_client_that_reads_no_answers_is_served_no_further_request() -> None:
-    """Its requests are read all the same, up to a limit, so that its close is noticed."""
+    """Answers that the client does not read would fill the gateway's memory.
+
+    Further requests are still read, up to the pipeline limit, so that a disconnect is noticed.
+    """
     async with running_gateway() as gateway:
         client = await gateway.client()
         client.send(encode_request())
@@ -54,7 +57,8 @@
         assert connection.transport.get_write_buffer_size() > 0
         for _ in range(2 * client_connection.PIPELINE_LIMIT):
             client.send(encode_request())
-        await wait_until(lambda: connection.reader.is_stopped)  # read, counted and past the limit
+        # Stopped once the requests that were read exceed the limit.
+        await wait_until(lambda: connection.reader.is_stopped)
         assert connection.current is None
         assert len(connection.waiting) <= client_connection.PIPELINE_LIMIT + 2
         assert gateway.endpoint.requests.empty()
@@ -70,14 +74,17 @@
 
 @runs_in_event_loop
 async def test_input_after_a_rejection_does_not_reset_the_connection(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Closed at once, the connection would be reset by the rest of a body, which can overtake the 413."""
+    """Closed at once, the connection would be reset by the rest of the body that arrives later.
+
+    The client could receive the reset before it has read the 413.
+    """
     monkeypatch.setattr(lingering_close, "LINGER_S", 2 * TEST_TIMEOUT_S)
     async with running_gateway() as gateway:
         client = await gateway.client()
         client.send(encode_request("buy", body=bytes(BODY_LIMIT + 1), Content_Length=str(2 * BODY_LIMIT)))
         assert (await client.read_response())[0] == 413
         assert await client.is_closed()
-        for _ in range(2):  # the first would draw the reset, the second would meet it
+        for _ in range(2):  # the first would cause the reset, the second would fail because of it
             client.send(b"the rest")
         assert not client.writer.transport.is_closing()
         client.writer.transport.abort()
@@ -87,13 +94,16 @@
 async def test_input_after_the_last_request_does_not_reset_the_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Closed at once, the connection would be reset by it, which can overtake the answer."""
+    """Closed at once, the connection would be reset by input that arrives later.
+
+    The client could receive the reset before it has read the answer.
+    """
     monkeypatch.setattr(lingering_close, "LINGER_S", 2 * TEST_TIMEOUT_S)
     async with running_gateway() as gateway:
         client = await gateway.client()
         await gateway.serve_request(client, encode_request(Connection="close"))
         assert await client.is_closed()
-        for _ in range(2):  # the first would draw the reset, the second would meet it
+        for _ in range(2):  # the first would cause the reset, the second would fail because of it
             client.send(encode_request())
         assert not client.writer.transport.is_closing()
         client.writer.transport.abort()
@@ -105,6 +115,7 @@
 async def test_a_lingering_close_waits_until_the_answer_is_read(
     client_reads: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Closed after `LINGER_S` in any case, the connection would cut off the answer to a slow reader."""
     monkeypatch.setattr(lingering_close, "LINGER_S", 0.01)
     async with running_gateway() as gateway:
         client = await gateway.client()
--- a/tests/gateway/test_client_disconnects.py
+++ b/tests/gateway/test_client_disconnects.py
@@ -1,4 +1,4 @@
-"""Clients that disconnect: their attempts are cancelled and no other is started."""
+"""Clients that disconnect: their attempts are cancelled and no further attempt is started."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 async def test_a_request_is_not_forwarded_if_its_client_disconnects_while_the_connection_comes_up(
     ending: str, may_cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Also where attempts may not be cancelled."""
+    """An attempt that waits for a connection is dropped unsent, also where attempts may not be cancelled."""
     async with running_gateway(settings=settings(mayCancel=may_cancel)) as gateway:
         resume_connects = pause_endpoint_connects(gateway, monkeypatch)
         client = await gateway.client()
@@ -69,7 +69,10 @@
 
 @runs_in_event_loop
 async def test_a_disconnect_before_an_earlier_answer_is_read_counts_at_once() -> None:
-    """The transport closes only when all that was written before has been read."""
+    """The transport reports the loss of the connection only once the client has read all earlier answers.
+
+    The attempt must be cancelled when the client closes its sending side, not only then.
+    """
     async with running_gateway() as gateway:
         client = await gateway.client()
         client.send(encode_request() + encode_request(Request_Id="disconnected"))
@@ -104,7 +107,7 @@
 
 
 def disconnect_by(how: str, client: socket.socket) -> None:
-    """The client's end, in its socket at once."""
+    """Disconnect a socket at once: closed, closed for sending only (`half`) or reset."""
     if how == "half":
         client.shutdown(socket.SHUT_WR)
         return
@@ -114,7 +117,7 @@
 
 
 async def open_idle_connections(gateway: RunningGateway, count: int) -> None:
-    """Have the pool hold connections that need no time to come up."""
+    """Leave idle connections in the pool, so that attempts need not wait for a connection."""
     clients = [await gateway.client() for _ in range(count)]
     for client in clients:
         client.send(encode_request())
@@ -127,6 +130,7 @@
 def disconnect_on_accept(
     gateway: RunningGateway, monkeypatch: pytest.MonkeyPatch, disconnect: Callable[[], None]
 ) -> None:
+    """Disconnect just before the gateway accepts the request."""
     accept = gateway.proxy.accept
 
     def disconnect_then_accept(*args: Any, **kwargs: Any) -> Any:
@@ -139,6 +143,7 @@
 def disconnect_on_upstream_connect(
     _gateway: RunningGateway, monkeypatch: pytest.MonkeyPatch, disconnect: Callable[[], None]
 ) -> None:
+    """Disconnect just before a new connection to the endpoint is reported as open."""
     connection_made = UpstreamConnection.connection_made
 
     def disconnect_then_connect(connection: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
@@ -151,6 +156,7 @@
 def disconnect_on_time_out(
     gateway: RunningGateway, monkeypatch: pytest.MonkeyPatch, disconnect: Callable[[], None]
 ) -> None:
+    """Disconnect just before the balancer handles the time-out of an attempt."""
     handle = gateway.proxy.balancer.handle
 
     def disconnect_then_handle(now_us: int, event: Event) -> list[Action]:
@@ -175,7 +181,10 @@
 async def test_no_attempt_starts_after_a_disconnect_that_the_loop_has_not_read(
     attempt: str, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The client's socket is asked as each attempt comes up."""
+    """The client disconnects in the turn of the loop in which the attempt is to be written.
+
+    The loop reads that only afterwards, so the gateway polls the client's socket before each attempt.
+    """
     async with running_gateway(settings=settings(maxAttempts=2)) as gateway:
         script_decisions(gateway, ["h0"] * 4, "h0")
         assert gateway.client_server.listener is not None
@@ -202,8 +211,10 @@
 async def test_requests_of_clients_that_disconnect_together_are_not_forwarded(
     draining: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Their attempts wait for connections and may not be cancelled; none is written once connections open."""
     async with running_gateway(settings=settings(mayCancel=False)) as gateway:
-        gateway.proxy.balancer.concurrency_limit.limit = 100.0  # nothing is shed for what is in flight
+        # High enough that no request is rejected for the number of requests in flight.
+        gateway.proxy.balancer.concurrency_limit.limit = 100.0
         resume_connects = pause_endpoint_connects(gateway, monkeypatch)
         clients = [await gateway.client() for _ in range(20)]
         for client in clients:
--- a/tests/gateway/test_client_server.py
+++ b/tests/gateway/test_client_server.py
@@ -18,15 +18,15 @@
 @runs_in_event_loop
 async def test_ready_once_endpoints_are_known(endpoints: int, status: int) -> None:
     async with running_gateway(endpoint_count=endpoints) as gateway:
-        assert (
-            not gateway.proxy.config.cached_endpoint_list
-        )  # it stayed for good, beside the list as it was read
+        # The cached list is freed once it is parsed; otherwise it would stay in memory beside the result.
+        assert not gateway.proxy.config.cached_endpoint_list
         client = await gateway.client()
         assert (await client.request(b"GET /health/ready HTTP/1.1\r\n\r\n"))[0] == status
 
 
 @runs_in_event_loop
 async def test_connections_are_limited_and_idle_ones_are_closed_for_new_ones() -> None:
+    """Requests on connections over the limit are answered 503 while no idle connection may be closed."""
     async with running_gateway(limits={"sockets": 128}) as gateway:
         limit = gateway.client_server.max_connections
         idle_clients = [await gateway.client() for _ in range(limit)]
@@ -41,7 +41,8 @@
         await asyncio.wait(close_checks, return_when=asyncio.FIRST_COMPLETED)
         assert any(close_check.done() and close_check.result() for close_check in close_checks)
         busy_clients = []
-        gateway.proxy.balancer.concurrency_limit.limit = 2.0 * limit  # nothing is shed for what is in flight
+        # High enough that no request is rejected for the number of requests in flight.
+        gateway.proxy.balancer.concurrency_limit.limit = 2.0 * limit
         for _ in range(limit):
             busy_clients.append(await gateway.client())
             busy_clients[-1].send(encode_request())
@@ -55,7 +56,10 @@
 @pytest.mark.parametrize("long_idle", [False, True])
 @runs_in_event_loop
 async def test_idle_clients_do_not_block_a_readiness_check(long_idle: bool) -> None:
-    """Beyond the limit a new connection may still ask for readiness."""
+    """At the limit on connections, idle clients would otherwise make the gateway fail its readiness checks.
+
+    Over the limit, the oldest connection without a request is closed to make way for a new one.
+    """
     async with running_gateway(limits={"sockets": 128}) as gateway:
         open_limit = gateway.client_server.max_connections + client_server.MAX_REJECTED_CONNECTIONS
         idle_clients = [await gateway.client() for _ in range(open_limit)]
@@ -78,6 +82,7 @@
 
 @runs_in_event_loop
 async def test_a_client_that_sends_nothing_times_out_before_an_idle_one() -> None:
+    """Until its first request a connection has `FIRST_REQUEST_TIMEOUT_S`, after that the idle timeout."""
     async with running_gateway() as gateway:
         client = await gateway.client()
         await gateway.serve_request(client)
@@ -95,7 +100,7 @@
 
 @runs_in_event_loop
 async def test_a_slow_request_is_timed_from_its_first_byte() -> None:
-    """Not from its latest one, or a client that sends one now and then would never be answered."""
+    """A client that sends a byte now and then would never be answered 408 if timed from its latest byte."""
     async with running_gateway() as gateway:
         client = await gateway.client()
         client.send(b"GET /look HTT")
@@ -114,7 +119,7 @@
 
 @runs_in_event_loop
 async def test_the_first_request_is_timed_from_connecting() -> None:
-    """Else a client that sends its first byte after 2 s, and no more, would wait for more than 4 s."""
+    """A client that sends one byte after 2 s and no more would wait over 4 s if timed from that byte."""
     async with running_gateway() as gateway:
         client = await gateway.client()
         await wait_until(lambda: bool(gateway.client_server.connections))
@@ -130,7 +135,7 @@
 
 @runs_in_event_loop
 async def test_empty_lines_after_a_request_are_not_a_partial_request() -> None:
-    """They are not answered 408 on an idle connection."""
+    """Taken for the start of a request, they would cause a 408 on an idle connection."""
     async with running_gateway() as gateway:
         client = await gateway.client()
         await gateway.serve_request(client)
@@ -145,7 +150,10 @@
 
 @runs_in_event_loop
 async def test_an_unread_request_is_served_although_its_connection_is_past_the_idle_timeout() -> None:
-    """Its client would have to send it once more on a new connection."""
+    """The sweep finds the connection expired while a request waits unread in the socket.
+
+    Closed then, the connection would make its client send the request again on a new one.
+    """
     async with running_gateway() as gateway:
         client = await gateway.client()
         await gateway.serve_request(client)
@@ -164,7 +172,10 @@
 async def test_shutdown_answers_the_next_pipelined_request_before_it_closes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Between the answer to one request and the start of the next an answer is still owed."""
+    """After an answer, a pipelined request is queued and none is being served until the loop's next turn.
+
+    A connection that was taken for idle and closed then would lose the second answer.
+    """
     monkeypatch.setattr(client_server, "SHUTDOWN_POLL_S", 0.0)
     monkeypatch.setattr(client_server, "PARTIAL_REQUEST_GRACE_S", -1.0)
     async with running_gateway() as gateway:
@@ -189,7 +200,7 @@
 async def test_a_partial_request_at_the_end_of_a_shutdown_is_rejected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It is answered, whether or not its last byte has come, and not closed upon."""
+    """Its last byte may have arrived unread; a close without an answer would lose the request."""
     monkeypatch.setattr(client_server, "PARTIAL_REQUEST_GRACE_S", -1.0)
     async with running_gateway() as gateway:
         client = await gateway.client()
--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -44,11 +44,11 @@
         assert await next_list(gateway) == (ListKind.DELTA, ["h1 gone"])
         watch.write(encode_chunk(watch_event(endpoint_entry("h2", gateway.endpoint.address), snapshot=True)))
         assert await next_list(gateway) == (ListKind.COMPLETE, ["h2 ready"])
-        assert gateway.proxy.upstream.endpoints[endpoint_id_of("h0")].draining  # the full list lacks it
+        assert gateway.proxy.upstream.endpoints[endpoint_id_of("h0")].draining  # not in the complete list
 
 
 def retry_waits_s(failures: int, settings: Settings) -> list[float]:
-    """The balancer's waits after each of that many failed calls in a row."""
+    """Return the balancer's wait after each of a number of failed calls in a row."""
     driver = Driver(settings, endpoints=0)
     waits_s = []
     for _ in range(failures):
@@ -57,8 +57,11 @@
     return waits_s
 
 
-def test_the_silence_timeout_leaves_time_for_a_failed_call_and_a_successful_one() -> None:
-    """Longer, and the call after the silence would not be answered within the deadline for changes."""
+def test_the_inactivity_timeout_leaves_time_for_a_failed_call_and_a_successful_one() -> None:
+    """Shorter, it would end watches that send a line every 2 s.
+
+    Longer, the call after a silent watch would be answered after the deadline for changes.
+    """
     line_interval_s, answer_time_s = 2.0, 1.0
     waits_s = retry_waits_s(2, Settings((IDEMPOTENT,), endpoints_are_pushed=False))
     assert (
@@ -76,7 +79,7 @@
         watch.close()
         _, watch = await gateway.discovery.watches.get()
         watch.write(encode_chunk(watch_event(endpoint_entry("h1", gateway.endpoint.address))))
-        assert await next_list(gateway) == (ListKind.DELTA, ["h1 ready"])  # and no error in between
+        assert await next_list(gateway) == (ListKind.DELTA, ["h1 ready"])  # with no error reported before it
 
 
 async def test_a_changed_endpoint_address_is_applied() -> None:
@@ -107,7 +110,7 @@
 
 
 async def test_a_changed_address_is_called_at_once_during_the_backoff_after_a_failed_call() -> None:
-    """The retry may be 4 s off, which is all the time until a change must be known."""
+    """The retry may be 4 s away, by which time a change must already be known."""
     changed_settings = settings()
     changed_settings["contract"] = {"mustAskInUs": 4_000_000_000, "stopSendingWithinUs": 0}
     async with running_gateway(discovery="127.0.0.1:1", settings=changed_settings) as gateway:
@@ -116,7 +119,7 @@
         assert await next_list(gateway) == (ListKind.ERROR, [])
         gateway.proxy.discovery.change_address(parse_address(gateway.discovery.address))
         _, watch = await gateway.discovery.watches.get()
-        gateway.proxy.execute(SubscribeEndpoints())  # the repeat finds the watch open
+        gateway.proxy.execute(SubscribeEndpoints())  # a repeated subscription, while the watch is open
         watch.write(encode_chunk(watch_event(endpoint_entry("h1", gateway.endpoint.address))))
         assert await next_list(gateway) == (ListKind.DELTA, ["h1 ready"])
         assert gateway.discovery.connections == 1
@@ -132,7 +135,7 @@
 
 
 async def test_an_invalid_address_is_an_error_and_is_retried() -> None:
-    """Resolving it raises another error than OSError."""
+    """Resolving it raises ValueError instead of OSError; uncaught, it would end the retries."""
     async with gateway_with_watch() as (gateway, _):
         gateway.proxy.discovery.change_address(("a..b", 80))
         assert await next_list(gateway) == (ListKind.ERROR, [])
@@ -141,6 +144,7 @@
 
 
 def test_a_pushed_list_is_reopened_long_before_a_drain_must_be_applied() -> None:
+    """Nothing may be sent to a draining endpoint 0.5 s after the change, even if the watch was broken."""
     waits_s: list[float] = []
     loop = SimpleNamespace(call_later=lambda delay_s, *_: waits_s.append(delay_s))
     no_names = NameTable((), (), (), ())
@@ -158,7 +162,7 @@
 
 @pytest.mark.parametrize("poll_interval_s", [1, 10, 60, 600])
 def test_a_failed_call_is_retried_in_time_whatever_the_poll_interval(poll_interval_s: int) -> None:
-    """A share of a long interval would exceed the deadline for changes."""
+    """A wait in proportion to a long polling interval would exceed the deadline for changes."""
     settings = Settings(
         (IDEMPOTENT,), endpoints_are_pushed=False, max_poll_interval_us=poll_interval_s * 1_000_000
     )
--- a/tests/gateway/test_discovery_call.py
+++ b/tests/gateway/test_discovery_call.py
@@ -21,7 +21,7 @@
         assert await next_list(gateway) == (ListKind.ERROR, [])
         request_line, _ = await gateway.discovery.watches.get()
         assert "index=12" in request_line
-        assert gateway.proxy.upstream.endpoints  # the old list stands
+        assert gateway.proxy.upstream.endpoints  # the old list stays in force
 
 
 async def test_a_watch_cut_within_a_line_resumes_after_the_last_complete_line() -> None:
@@ -35,7 +35,7 @@
         assert await next_list(gateway) == (ListKind.ERROR, [])
         request_line, watch = await gateway.discovery.watches.get()
         assert "index=12" in request_line
-        # An index that runs backwards is asked from again: more comes than is new, and never less.
+        # A watch resumes from a lower index too: some changes may then come twice, but none is missed.
         watch.write(encode_chunk(watch_event(endpoint_entry("h2", gateway.endpoint.address), index=5)))
         assert await next_list(gateway) == (ListKind.DELTA, ["h2 ready"])
         watch.transport.abort()
--- a/tests/gateway/test_discovery_messages.py
+++ b/tests/gateway/test_discovery_messages.py
@@ -1,4 +1,4 @@
-"""Messages of discovery: how a watch is split into them, and what of them can be read."""
+"""Messages of discovery: how a watch is split into them, and which messages and entries are skipped."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 
 
 class CountedBytes(bytes):
-    """Counts the bytes that are copied as it is added to others."""
+    """Bytes that count how many bytes are copied when they are appended to others."""
 
     copied = 0
 
@@ -74,6 +74,7 @@
 
 @pytest.mark.parametrize("indent", [None, 1])
 def test_a_long_list_in_small_pieces_is_joined_once(indent: int | None) -> None:
+    """Appended to a buffer one by one, the pieces of a list would be copied again with each new piece."""
     text = json.dumps(
         json.loads(watch_event(*(endpoint_entry(f"h{n}", "127.0.0.1:9") for n in range(200)))), indent=indent
     )
@@ -93,7 +94,7 @@
 
 
 async def test_an_indented_list_is_one_message() -> None:
-    """Its lines are not messages of their own."""
+    """Split at line ends, an indented list would be skipped as a series of malformed messages."""
     async with gateway_with_watch() as (gateway, watch):
         message = json.loads(
             watch_event(
@@ -117,6 +118,7 @@
 async def test_a_truncated_message_does_not_lose_the_next_one(
     truncated: str, caplog: pytest.LogCaptureFixture
 ) -> None:
+    """Read on to its end, a truncated message would take in the next one, and both would be skipped."""
     async with gateway_with_watch() as (gateway, watch):
         watch.write(
             encode_chunk(truncated + "\n")
@@ -131,12 +133,12 @@
             )
         )
         assert await next_list(gateway) == (ListKind.DELTA, ["h3 ready"])
-        event_log.flush()  # the second within a second is counted
+        event_log.flush()  # logs the second event, which was only counted as it came within a second
         assert caplog.text.count("skipped a message of discovery") == 2
 
 
 async def test_a_complete_list_keeps_endpoints_whose_entries_cannot_be_read() -> None:
-    """An endpoint is not gone because its entry cannot be read."""
+    """Taken for unlisted, an endpoint would be drained because of an error in its entry."""
     async with gateway_with_watch(endpoint_count=2) as (gateway, watch):
         entries = [
             endpoint_entry("h0", "nowhere"),
@@ -153,6 +155,7 @@
 async def test_a_complete_list_without_readable_entries_is_ignored(
     entries: list[object], caplog: pytest.LogCaptureFixture
 ) -> None:
+    """Applied as an empty list, it would drain every endpoint."""
     async with gateway_with_watch() as (gateway, watch):
         watch.write(encode_chunk(watch_event(*entries, snapshot=True)))
         watch.write(encode_chunk(watch_event(endpoint_entry("h2", gateway.endpoint.address))))
--- a/tests/gateway/test_endpoint_ids.py
+++ b/tests/gateway/test_endpoint_ids.py
@@ -1,4 +1,4 @@
-"""Endpoint ids are made from names."""
+"""Endpoint ids are derived from names."""
 
 from __future__ import annotations
 
--- a/tests/gateway/test_endpoint_list_latency.py
+++ b/tests/gateway/test_endpoint_list_latency.py
@@ -1,4 +1,4 @@
-"""How soon a change of the endpoint list is known once discovery can be reached, on a fake clock."""
+"""How soon a change of the endpoint list is known after an outage of discovery, on a simulated clock."""
 
 from __future__ import annotations
 
@@ -16,20 +16,19 @@
 from tests.gateway.configurations import configuration, settings
 from tests.gateway.stub_discovery import encode_chunk, endpoint_entry, watch_event
 
-UNQUEUED_CALL_S = 0.2  # until the answer to a call that does not queue
+UNQUEUED_CALL_S = 0.2  # time to the answer to a call that does not queue
 UNAVAILABLE_RESPONSE = b"HTTP/1.1 503 Any\r\nContent-Length: 0\r\n\r\n"
 WATCH_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 OLD_LIST, CHANGED_LIST = (
     WATCH_HEAD + encode_chunk(watch_event(endpoint_entry("h0", "127.0.0.1:9", state), index=8, snapshot=True))
     for state in ("active", "leaving")
 )
-TimedAnswers = list[
-    tuple[float, bytes]
-]  # after so many seconds, from the first call on; the last stands for all
+# The delay in seconds and the bytes of the answer to each call after the outage; the last answer is repeated.
+TimedAnswers = list[tuple[float, bytes]]
 
 
 class SkippingSelector(selectors.DefaultSelector):
-    """A selector without input, in which the wait for the next timer is over at once."""
+    """A selector without input that advances a simulated clock instead of waiting for the next timer."""
 
     now_s = 0.0
 
@@ -40,6 +39,15 @@
 
 
 class DiscoveryLoop(asyncio.SelectorEventLoop):
+    """An event loop on a simulated clock, whose connections all lead to a simulated discovery.
+
+    Attributes:
+        reachable_at_s: When the outage ends.
+        outage: What discovery does until then.
+        answers: What it answers to calls after that.
+        change_known_at: The time at which the change of the list is known.
+    """
+
     def __init__(self, reachable_at_s: float, outage: str, answers: TimedAnswers) -> None:
         self.skipping_selector = SkippingSelector()
         super().__init__(self.skipping_selector)
@@ -50,21 +58,21 @@
         return self.skipping_selector.now_s
 
     async def create_connection(self, protocol: Any, *_: Any, **__: Any) -> Any:  # type: ignore[override]
-        """Discovery: what it does before it can be reached, and its answers then."""
+        """Connect to discovery, which behaves as in the outage at first and then answers as given."""
         is_outage = self.time() < self.reachable_at_s
-        if is_outage and self.outage == "refuses":
+        if is_outage and self.outage == "refuses connections":
             raise ConnectionRefusedError
-        if is_outage and self.outage == "swallows":
+        if is_outage and self.outage == "connecting hangs":
             await self.create_future()
         call: DiscoveryCall = protocol()
         call.connection_made(DiscardingTransport())
-        if is_outage and self.outage == "opens":
+        if is_outage and self.outage == "sends one list":
             call.data_received(OLD_LIST)
             return
-        if is_outage and self.outage == "falls silent":
+        if is_outage and self.outage == "sends nothing":
             return
         if is_outage:
-            head = WATCH_HEAD if self.outage == "trickles a list" else b""
+            head = WATCH_HEAD if self.outage == "sends a list byte by byte" else b""
             call.data_received(head)
             for index, byte in enumerate(CHANGED_LIST[len(head) :]):
                 self.call_later(0.5 * index, call.data_received, bytes([byte]))
@@ -73,12 +81,15 @@
         self.call_later(delay_s, call.data_received, answer)
 
     def record_change(self, event: WatchEvent) -> None:
+        """Set the time of the first event that reports the change."""
         statuses = [entry.endpoint.status.value for entry in event.endpoints]
         if "draining" in statuses and not self.change_known_at.done():
             self.change_known_at.set_result(self.time())
 
 
 class DiscardingTransport(asyncio.Transport):
+    """A transport that drops what is written to it."""
+
     def write(self, data: Any) -> None:
         pass
 
@@ -89,6 +100,7 @@
 def seconds_until_known(
     reachable_at_s: float, outage: str, answers: TimedAnswers, seed: int, max_poll_interval_us: int
 ) -> float:
+    """Return the time from the end of the outage until the gateway knows the change."""
     loop = DiscoveryLoop(reachable_at_s, outage, list(answers))
     try:
         changed_settings = {
@@ -119,13 +131,16 @@
     (QUEUED_CALL_S, UNAVAILABLE_RESPONSE),
 )
 OUTAGES: dict[str, tuple[str, TimedAnswers]] = {
-    "it was down, and has too many callers": ("refuses", [REJECTED, QUEUED]),
-    "it was cut off, and has too many callers": ("swallows", [REJECTED, UNQUEUED]),
-    "it was cut off, and the next watch falls silent": ("swallows", [(60.0, b""), UNQUEUED]),
-    "an open watch falls silent, and the next call is rejected": ("opens", [REJECTED, UNQUEUED]),
-    "a call falls silent, and the next queues": ("falls silent", [QUEUED]),
-    "an answer's head trickles in, and the next call queues": ("trickles its head", [QUEUED]),
-    "a list trickles in, and the next call queues": ("trickles a list", [QUEUED]),
+    "connections are refused, then a call is rejected and one queues": (
+        "refuses connections",
+        [REJECTED, QUEUED],
+    ),
+    "connecting hangs, then a call is rejected": ("connecting hangs", [REJECTED, UNQUEUED]),
+    "connecting hangs, then a watch gets no answer": ("connecting hangs", [(60.0, b""), UNQUEUED]),
+    "an open watch sends nothing more, then a call is rejected": ("sends one list", [REJECTED, UNQUEUED]),
+    "a call gets no answer, then one queues": ("sends nothing", [QUEUED]),
+    "the head of an answer comes byte by byte, then a call queues": ("sends its head byte by byte", [QUEUED]),
+    "a list comes byte by byte, then a call queues": ("sends a list byte by byte", [QUEUED]),
 }
 
 
@@ -134,7 +149,10 @@
 def test_a_change_is_known_in_time_whichever_call_failed_before(
     outage_name: str, max_poll_interval_s: int
 ) -> None:
-    """Discovery that was cut off, queues calls or falls silent included."""
+    """The deadline must cover the time-out of the pending call, the wait after it and the next call.
+
+    That call may queue, be rejected after queueing or get no answer.
+    """
     outage, answers = OUTAGES[outage_name]
     worst_s = max(
         seconds_until_known(0.1 * tenth, outage, answers, seed, max_poll_interval_s * 1_000_000)
@@ -146,15 +164,17 @@
 
 @pytest.mark.parametrize("max_poll_interval_s", [1, 10, 60, 600])
 def test_a_change_is_known_in_time_if_the_first_two_calls_queue(max_poll_interval_s: int) -> None:
-    """Its time does not grow with the interval, and differs between gateways."""
+    """A first call delayed in proportion to a long polling interval would miss the deadline.
+
+    Without a random delay, all gateways would make it at once.
+    """
     delays_s = [
         seconds_until_known(0.0, "", [REJECTED, QUEUED], seed, max_poll_interval_s * 1_000_000)
         - 2 * QUEUED_CALL_S
         for seed in range(40)
     ]
     assert max(delays_s) <= CHANGE_DEADLINE_S - 2 * QUEUED_CALL_S
-    assert max(delays_s) - min(delays_s) > 0.8 * min(
-        1.0, 0.1 * max_poll_interval_s
-    )  # they ask at random all the same
+    # First calls are still spread at random.
+    assert max(delays_s) - min(delays_s) > 0.8 * min(1.0, 0.1 * max_poll_interval_s)
     assert min(delays_s) >= 0
     assert len({round(delay_s, 6) for delay_s in delays_s}) == 40
--- a/tests/gateway/test_event_log.py
+++ b/tests/gateway/test_event_log.py
@@ -1,4 +1,4 @@
-"""The log: its forms, the counting of repeats, and the page that lists the events."""
+"""The log: its formats, the counting of repeats, and the page that lists the events."""
 
 import ast
 import json
@@ -35,7 +35,7 @@
 
 
 def test_the_page_lists_the_events_of_the_code() -> None:
-    """`python -m load_balancer.gateway.event_log > docs/events.md` mends it."""
+    """If it fails, `python -m load_balancer.gateway.event_log > docs/events.md` updates the page."""
     assert (ROOT / "docs" / "events.md").read_text() == render_page()
     assert FIELDS.keys() == {name for event in EVENTS.values() for name in event.fields} | set(COMMON_FIELDS)
     assert all(set(event.key) <= set(event.fields) for event in EVENTS.values())
@@ -49,7 +49,7 @@
 
 
 def test_every_call_logs_a_registered_event_with_its_fields() -> None:
-    logged = {"log.overflow"}  # by repeat_counter.py
+    logged = {"log.overflow"}  # logged by repeat_counter.py without such a call
     for path in sorted((ROOT / "load_balancer").rglob("*.py")):
         for node in (node for node in ast.walk(ast.parse(path.read_text())) if isinstance(node, ast.Call)):
             function, location = ast.unparse(node.func), f"{path.name}:{node.lineno}"
@@ -57,7 +57,7 @@
             assert not bypass or path.name in ("cli.py", "event_log.py", "adapter.py"), location
             fields = {field.arg for field in node.keywords}
             if function in ("self.log.write", "self._log.write"):
-                name = node.args[1]  # after the time
+                name = node.args[1]  # the first argument is the time
             elif function == "log_event" and not isinstance(node.args[0], ast.Attribute):
                 name = node.args[0]
             else:
@@ -71,7 +71,7 @@
 
 
 class ManualLoop:
-    """A loop whose time is set by hand; it has one timer at most."""
+    """A loop whose clock the test sets, with at most one timer."""
 
     now_s, due_s, call = 0.0, 0.0, None
 
@@ -103,7 +103,7 @@
 def test_repeats_are_written_once_a_second_with_their_count() -> None:
     loop, event = ManualLoop(), EVENTS["request.failed"]
     counter, written = loop.counter, loop.written
-    for index in range(150):  # for a second and a half
+    for index in range(150):  # 1.5 s of events
         loop.run_until(index / 100)
         counter.add(event, {"error": "a", "request_id": str(index)})
     counter.add(event, {"error": "b"})
@@ -122,7 +122,7 @@
 
 @pytest.mark.parametrize("trigger", ["timer", "flush", "another loop", "late timer"])
 def test_every_event_is_written_or_counted(trigger: str) -> None:
-    """Beyond the keys that are kept, by event alone: the memory does not grow with the events."""
+    """Beyond `MAX_COUNTED_KEYS`, repeats are counted by event name alone, so that memory stays limited."""
     loop, event, event_count = ManualLoop(), EVENTS["library.message"], 30 * MAX_COUNTED_KEYS
     counter, written = loop.counter, loop.written
     for index in range(event_count):
@@ -198,7 +198,7 @@
 
 
 def test_a_process_set_to_json_writes_every_event_as_json(tmp_path: Path) -> None:
-    """Repeats that are counted when a start fails, its loop closed, are written too."""
+    """Repeats that are still only counted when a start fails must be written although the loop is closed."""
     path = tmp_path / "config.json"
     with socket.create_server(("127.0.0.1", 0)) as listening:
         listen = f"127.0.0.1:{listening.getsockname()[1]}"
@@ -214,7 +214,7 @@
 
 
 async def test_an_event_of_a_request_names_the_request(caplog: pytest.LogCaptureFixture) -> None:
-    """With its class and tenant by name, and the endpoint by address; suppressed lines are counted."""
+    """It names the class, the tenant and the endpoint's address too; suppressed lines are counted."""
     caplog.set_level(logging.INFO)
     async with running_gateway(
         settings={**settings(), "tenants": [{"name": "acme"}, {"name": "zeta"}]}
--- a/tests/gateway/test_graceful_shutdown.py
+++ b/tests/gateway/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""The drain of a gateway: what it still answers, and what does not delay it."""
+"""Graceful shutdown of a gateway: what it still answers, and what does not delay it."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 async def test_requests_that_come_during_a_drain_are_served(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Clients go on sending for a moment, on new connections and on those that they have."""
+    """Clients still send requests for a moment after a drain has begun, on open and on new connections."""
     monkeypatch.setattr(client_server, "PARTIAL_REQUEST_GRACE_S", TEST_TIMEOUT_S)
     async with running_gateway() as gateway:
         idle_client = await gateway.client()
@@ -46,17 +46,17 @@
 async def test_a_request_in_the_accept_queue_as_the_listener_closes_is_served(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Closing the listener would reset a connection that it has not accepted yet."""
+    """Closing the listener at once would reset a connection that it has not accepted yet."""
     monkeypatch.setattr(client_server, "ACCEPT_GRACE_S", 0.0)
     monkeypatch.setattr(client_server, "REQUEST_GRACE_S", 0.0)
     async with running_gateway() as gateway:
         assert gateway.client_server.listener is not None
         address = gateway.client_server.listener.sockets[0].getsockname()
         drain = gateway.client_server.drain()
-        drain.send(None)  # now it waits for the end of accepting
+        drain.send(None)  # runs up to the wait before the listener is closed
         queued_socket = socket.create_connection(address)
         queued_socket.send(encode_request())
-        drain.send(None)  # which comes in this turn of the loop: it has accepted nothing since
+        drain.send(None)  # ends that wait in this turn of the loop, in which nothing has been accepted yet
         drain_task = asyncio.create_task(drain)
         client = HttpClient(*await asyncio.open_connection(sock=queued_socket))
         (await gateway.endpoint.requests.get()).respond()
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -45,14 +45,14 @@
         received = await endpoint.requests.get()
         idle_client = await connect(port)
         child.send_signal(signal.SIGTERM)
-        assert await idle_client.is_closed()  # and so the signal has been handled
+        assert await idle_client.is_closed()  # so the signal has been handled
         received.respond()
         await expect_final_answer(busy_client)
         assert await child.wait() == 0
 
 
 async def test_sighup_applies_a_changed_address_of_discovery(tmp_path: Path) -> None:
-    """ROUTER_DISCOVERY, which is as old as the process, does not override the new file."""
+    """ROUTER_DISCOVERY dates from the start of the process and must not override an address changed since."""
     endpoint, old_discovery, new_discovery = StubEndpoint(), StubDiscovery(), StubDiscovery()
     await old_discovery.start()
     await new_discovery.start()
@@ -84,7 +84,7 @@
 ) -> None:
     """SIGHUP must not end the process before its loop runs. SIGTERM may: no request has been accepted."""
     path = tmp_path / "config"
-    os.mkfifo(path)  # holds the process while it reads its configuration
+    os.mkfifo(path)  # blocks the process while it reads its configuration
     child, stderr = await start_process(path)
     loop = asyncio.get_running_loop()
     with await loop.run_in_executor(None, path.open, "w") as config_pipe:
@@ -129,6 +129,7 @@
 
 
 async def test_idle_clients_leave_descriptors_for_discovery_endpoints_and_readiness(tmp_path: Path) -> None:
+    """Idle clients could otherwise use up the descriptors that discovery and endpoints need."""
     endpoint, added_endpoint, discovery = StubEndpoint(), StubEndpoint(), StubDiscovery()
     await added_endpoint.start()
     discovery_address, sockets = discovery.bind(), 256
--- a/tests/gateway/test_process_start.py
+++ b/tests/gateway/test_process_start.py
@@ -101,7 +101,7 @@
 
 
 def test_a_large_configuration_is_held_once_while_it_is_read(tmp_path: Path) -> None:
-    """A second copy of the settings would take the most memory of the start."""
+    """A second copy of the settings would determine the peak memory of the start."""
     tenants = [{"name": f"t{n}", "note": "x" * 2_000} for n in range(1_000)]
     document = configuration_with_settings(tenants=tenants)
     path = tmp_path / "config.json"
@@ -124,7 +124,7 @@
 async def test_endpoints_cached_at_the_start_are_exempt_from_garbage_collection(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Else every full collection would, while requests wait."""
+    """Otherwise every full garbage collection would traverse them while requests wait."""
     path, started = tmp_path / "config.json", asyncio.Event()
     path.write_text(json.dumps(configuration({"h0": "127.0.0.1:1"}, "127.0.0.1:1")))
 
@@ -161,7 +161,10 @@
 
 
 def test_counted_repeats_are_written_before_the_error_of_a_failed_start(tmp_path: Path) -> None:
-    """A poll that failed twice while the listener was opened was counted, and told after the last line."""
+    """A second failure of discovery before the listener opens is only counted.
+
+    Its count must not be written after the error that ends the process.
+    """
     path = tmp_path / "config.json"
     path.write_text(json.dumps(configuration({}, "127.0.0.1:1")))
     completed = subprocess.run(
--- a/tests/gateway/test_reload.py
+++ b/tests/gateway/test_reload.py
@@ -1,4 +1,4 @@
-"""A replaced configuration is applied to a running gateway, and to no request that has arrived before."""
+"""Reloading of the configuration: changes apply to later requests, not to those in flight."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
         await instance.gateway.serve_request(client, encode_request(Tenant="acme"))
         await instance.reload(settings_with_classes("buy", "find", tenants=[{"name": "wayne"}]))
         assert instance.settings_version == 2
-        assert (await client.request(encode_request(Tenant="acme")))[0] == 404  # no such class any more
+        assert (await client.request(encode_request(Tenant="acme")))[0] == 404  # the class has been removed
         assert (await client.request(encode_request("find", "GET", Tenant="acme")))[0] == 400
         await instance.gateway.serve_request(client, encode_request("find", "GET", Tenant="wayne"))
         arrived = await instance.gateway.wait_for_event(RequestArrived, lambda event: event.request_id == "2")
@@ -108,7 +108,10 @@
 
 
 async def test_a_request_in_flight_ends_under_its_own_settings_version(tmp_path: Path) -> None:
-    """Its class has another index, its tenant is gone; an idempotent class has the index it had."""
+    """The new settings remove the request's tenant and give the index of its class to an idempotent class.
+
+    Under them, a request that must not run twice would be sent again.
+    """
     async with reloadable_gateway(tmp_path) as instance:
         buy_client, look_client = await instance.gateway.client(), await instance.gateway.client()
         buy_client.send(encode_request("buy", "POST", Tenant="umbrella"))
@@ -127,6 +130,7 @@
 
 
 async def test_a_request_in_flight_keeps_its_further_attempts(tmp_path: Path) -> None:
+    """It arrived under settings that allow two attempts; the new ones allow one."""
     async with reloadable_gateway(tmp_path) as instance:
         await instance.reload({**settings(maxAttempts=2), "tenants": TENANTS})
         client = await instance.gateway.client()
@@ -150,7 +154,7 @@
         await instance.reload(settings_with_classes("find"))
         first.respond()
         assert (await client.read_response())[0] == 200
-        assert (await client.read_response())[0] == 404  # no `look` any more: answered, not lost
+        assert (await client.read_response())[0] == 404  # `look` was removed: answered, not lost
         (await instance.gateway.endpoint.requests.get()).respond()
         assert (await client.read_response())[0] == 200
 
@@ -165,7 +169,7 @@
         instance.reloader.request_reload()
         await wait_until(lambda: len(previous_configs) == 1)
         await instance.gateway.serve_request(client, encode_request(Tenant="acme"))
-        for class_name in ("second", "third"):  # requested twice more: the second is never read
+        for class_name in ("second", "third"):  # only the last of these contents is read
             instance.write(settings_with_classes("look", class_name))
             instance.reloader.request_reload()
         resume.set()
@@ -179,7 +183,7 @@
 async def test_no_garbage_collection_runs_during_a_reading(
     ending: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A full collection of what is being read would be one long step."""
+    """A full collection of the objects being read would block the loop for milliseconds."""
     async with reloadable_gateway(tmp_path) as instance:
         previous_configs, resume = pause_config_reads(monkeypatch)
         instance.write({"lanes": 7} if ending == "rejected" else settings_with_classes("find"))
@@ -248,7 +252,7 @@
 
 
 async def test_state_of_replaced_settings_is_dropped(tmp_path: Path) -> None:
-    """With a request under each version: what only an earlier one had is dropped."""
+    """State of classes and tenants that only earlier versions had would otherwise grow with each reload."""
     async with reloadable_gateway(tmp_path) as instance:
         client = await instance.gateway.client()
         for index in range(60):
@@ -271,7 +275,7 @@
 async def test_the_heap_is_trimmed_after_each_reading(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Also where the file could not be used."""
+    """Otherwise the process would keep the memory of a reading, also of one whose file was rejected."""
     trim_calls = list[int]()
     monkeypatch.setattr(reload, "trim_heap", lambda: trim_calls.append(1))
     async with reloadable_gateway(tmp_path) as instance:
@@ -284,7 +288,7 @@
     monkeypatch.undo()
     reload.trim_heap()
     monkeypatch.setattr("ctypes.CDLL", lambda _: object())
-    reload.trim_heap()  # where the C library has no such call
+    reload.trim_heap()  # does nothing where the C library has no malloc_trim
 
 
 async def test_a_disconnect_after_a_settings_change_is_noticed(tmp_path: Path) -> None:
--- a/tests/gateway/test_request_parsing.py
+++ b/tests/gateway/test_request_parsing.py
@@ -1,4 +1,4 @@
-"""What requests must say, and what is read from them."""
+"""Parsing of client requests: what is rejected, and what the balancer receives of the others."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
         await gateway.serve_request(client, first_request)
         first = await gateway.wait_for_event(RequestArrived)
         assert (first.tenant, first.work_us, first.is_retry, first.is_write) == (1, 1200, True, True)
-        assert (await client.request(encode_request()))[0] == 400  # without its tenant
+        assert (await client.request(encode_request()))[0] == 400  # the tenant is missing
         await gateway.serve_request(client, encode_request("look", Tenant="acme"))
         second = await gateway.wait_for_event(RequestArrived)
         assert (second.request_class, second.tenant, second.work_us, second.is_retry, second.is_write) == (
@@ -85,7 +85,7 @@
 
 @runs_in_event_loop
 async def test_trailers_are_ignored() -> None:
-    """They are not read as headers of the request."""
+    """Read as headers, they would set the work hint and mark the request as a retry."""
     async with running_gateway() as gateway:
         client = await gateway.client()
         head = encode_request("buy", Transfer_Encoding="chunked")
--- a/tests/gateway/test_request_tracker.py
+++ b/tests/gateway/test_request_tracker.py
@@ -95,7 +95,7 @@
 async def test_a_request_answered_while_its_connection_comes_up_is_not_forwarded(
     may_cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The last resort answers it; its connection is up only after that."""
+    """Its deadline passes while it waits for a connection; nothing may be sent once that is open."""
     async with running_gateway(settings=settings(mayCancel=may_cancel)) as gateway:
         resume_connects = pause_endpoint_connects(gateway, monkeypatch)
         client = await gateway.client()
@@ -113,13 +113,16 @@
 
 @runs_in_event_loop
 async def test_the_balancer_answers_a_time_out_that_is_due_with_the_deadline_timer() -> None:
-    """Its outcome is reported in the loop's next turn, before the last resort answers."""
+    """Both timers are due in one turn of the loop.
+
+    If the deadline timer ran first, the client would get its 504 in place of the balancer's answer.
+    """
     async with running_gateway() as gateway:
         client = await gateway.client()
         client.send(encode_request("buy", Request_Timeout_Ms="300"))
         await gateway.endpoint.requests.get()
         (request,) = gateway.proxy.request_tracker.pending.values()
         while gateway.proxy.clock.now_us() < request.deadline_us + 2 * DEADLINE_TIMER_DELAY_US:
-            pass  # this turn of the loop lasts until both are due
+            pass  # keeps the loop busy until both timers are due
         assert (await client.read_response())[0] == 502
         assert (await gateway.wait_for_event(AttemptEnded)).outcome is Outcome.TIMEOUT
--- a/tests/gateway/test_simultaneous_ends.py
+++ b/tests/gateway/test_simultaneous_ends.py
@@ -1,4 +1,4 @@
-"""Ends of an attempt that come in one turn of the loop: the first counts, and no two copies are in flight."""
+"""Several ends of one attempt in one turn of the loop: the first counts, and no two copies are in flight."""
 
 from __future__ import annotations
 
@@ -27,11 +27,14 @@
 async def test_no_attempt_is_written_while_the_connection_of_the_previous_one_is_open(
     cause: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Else two copies of the request would be in flight for an instant."""
+    """An aborted connection closes only in the loop's next turn.
+
+    An attempt written before that would leave two copies of the request in flight.
+    """
     async with running_gateway(endpoint_count=2, settings=settings(maxAttempts=2)) as gateway:
         script_decisions(gateway, ["h0", "h1", "h0"], "h1")
         client = await gateway.client()
-        for _ in range(2):  # one idle connection to each, so that the second attempt has not to wait
+        for _ in range(2):  # leaves an idle connection to each endpoint, so that no attempt waits for one
             await gateway.serve_request(client)
         write, earlier_connections_open = UpstreamConnection.write, []
         descriptors: list[int] = []
@@ -81,20 +84,24 @@
 
 EndFunction = Callable[[PendingRequest, RunningGateway], None]
 OUTCOMES: dict[EndFunction, Outcome] = {
-    disconnect: Outcome.CANCELLED,  # by the balancer, at once
+    disconnect: Outcome.CANCELLED,  # the balancer cancels the attempt at once
     expire: Outcome.TIMEOUT,
     cancel: Outcome.CANCELLED,
 }
 
 
-@pytest.mark.parametrize("response_state", ["not", "unread", "read"])
+@pytest.mark.parametrize("response_state", ["not sent", "unread", "read"])
 @pytest.mark.parametrize("second", OUTCOMES)
 @pytest.mark.parametrize("first", OUTCOMES)
 @runs_in_event_loop
 async def test_the_first_of_simultaneous_ends_counts_once(
     first: EndFunction, second: EndFunction, response_state: str
 ) -> None:
-    """A response, a time-out, a cancel and a disconnect, in each order and in one turn of the loop."""
+    """Two of a time-out, a cancel and a disconnect come in one turn of the loop, in any order.
+
+    A response comes not at all, has not been read yet, or has been read before them. Each end could
+    report an outcome of its own.
+    """
     async with running_gateway(settings=settings(maxAttempts=2)) as gateway:
         script_decisions(gateway, ["h0", "h0"], "h0")
         client = await gateway.client()
@@ -103,7 +110,7 @@
         (request,) = gateway.proxy.request_tracker.pending.values()
         (attempt,) = request.attempts
         assert attempt is not None
-        if response_state != "not":
+        if response_state != "not sent":
             send_now(received.writer, b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         if response_state == "read":
             await wait_until(lambda: attempt.done)
--- a/tests/gateway/test_upstream_pool.py
+++ b/tests/gateway/test_upstream_pool.py
@@ -21,7 +21,7 @@
 
 @runs_in_event_loop
 async def test_connections_to_endpoints_are_kept_alive() -> None:
-    """The parser says whether to keep the connection only within its callbacks."""
+    """The parser reports whether to keep the connection only within its callbacks, not after them."""
     async with running_gateway() as gateway:
         client = await gateway.client()
         for _ in range(3):
@@ -57,12 +57,13 @@
 async def test_idle_connections_are_closed_before_the_endpoint_closes_them(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """A request that crosses the endpoint's close would end as a reset, after which it may have run."""
     async with running_gateway() as gateway:
         client = await gateway.client()
         await gateway.serve_request(client)
         gateway.proxy.upstream.sweep()
         assert len(gateway.proxy.upstream.connections) == 1
-        assert gateway.proxy.upstream.timing.idle_timeout_s < 60  # what the settings say
+        assert gateway.proxy.upstream.timing.idle_timeout_s < 60  # the endpoints' timeout in the settings
         monkeypatch.setattr(gateway.proxy.upstream.timing, "idle_timeout_s", 0.0)
         gateway.proxy.upstream.sweep()
         await gateway.endpoint.closed_connections.get()
@@ -70,7 +71,7 @@
 
 
 def stop_clock(gateway: RunningGateway) -> list[float]:
-    """The pool's clock stands still at the one time in the list."""
+    """Stop the pool's clock; returns a list that holds its time, which the test may change."""
     clock = [gateway.proxy.upstream.timing.now()]
     gateway.proxy.upstream.timing.now = lambda: clock[0]
     return clock
@@ -78,7 +79,10 @@
 
 @runs_in_event_loop
 async def test_a_late_second_response_does_not_answer_the_next_request() -> None:
-    """A connection is not used again at once: what comes milliseconds late would answer another request."""
+    """An endpoint that responds twice does so milliseconds late.
+
+    On a connection that was reused at once, its second response would answer the next request.
+    """
     async with running_gateway(reuse_delay_s=upstream_pool.REUSE_DELAY_S) as gateway:
         clock = stop_clock(gateway)
         client = await gateway.client()
@@ -88,7 +92,7 @@
         assert (await client.read_response())[0] == 200
         client.send(encode_request())
         second = await gateway.endpoint.requests.get()
-        assert second.writer is not first.writer  # the first has to rest
+        assert second.writer is not first.writer  # the first may not be reused yet
         first.respond(body=b"once more")
         await gateway.endpoint.closed_connections.get()
         second.respond(body=b"its own")
@@ -104,7 +108,10 @@
 @pytest.mark.parametrize("unread_input", [b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", b""])
 @runs_in_event_loop
 async def test_an_idle_connection_with_unread_input_is_not_reused(unread_input: bytes) -> None:
-    """The loop has yet to read a second response, or the endpoint's close, as the next request is written."""
+    """The loop has not read a second response, or the endpoint's close, when the next request is written.
+
+    That request would get the wrong response or be lost with the connection.
+    """
     async with running_gateway() as gateway:
         client = await gateway.client()
         await gateway.serve_request(client)
@@ -126,7 +133,7 @@
 
 @runs_in_event_loop
 async def test_an_idle_connection_past_its_timeout_is_not_reused() -> None:
-    """The sweep looks only once a second, which is too late where endpoints close after 2 s."""
+    """The sweep runs only once a second, too late where endpoints close idle connections after 2 s."""
     async with running_gateway(settings=settings(keepaliveUs=2_000_000)) as gateway:
         clock = stop_clock(gateway)
         client = await gateway.client()
@@ -159,7 +166,7 @@
 async def test_an_attempt_that_waits_for_a_connection_fails_when_its_endpoint_drains(
     change: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It is not written if the connection comes up later, and does not wait for that to fail."""
+    """It fails at once instead of waiting for its connection, and is not written if that opens later."""
     changed_settings = settings(connectTimeoutUs=120_000_000)
     changed_settings["contract"] = {"mustAskInUs": 100_000, "stopSendingWithinUs": 60_000_000}
     async with running_gateway(settings=changed_settings) as gateway:
