--- a/load_balancer/gateway/__init__.py
+++ b/load_balancer/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The network side of a gateway: sockets and timers that carry out the decisions of one Balancer."""
+"""The network side of a gateway: sockets and timers that execute the decisions of one Balancer."""
--- a/load_balancer/gateway/attempt_sender.py
+++ b/load_balancer/gateway/attempt_sender.py
@@ -1,4 +1,4 @@
-"""Sending of attempts; each `Send` action gets exactly one outcome."""
+"""Sends attempts to endpoints and reports exactly one outcome for each `Send` action."""
 
 from __future__ import annotations
 
@@ -20,7 +20,9 @@
     """An attempt in flight.
 
     Attributes:
-        number: Which of its request's attempts it is, from 0.
+        request: The request that it belongs to.
+        number: Its index among the attempts of the request, from 0.
+        endpoint_id: The endpoint that it is sent to.
         sent_us: Time at which it was started, in microseconds.
     """
 
@@ -53,7 +55,11 @@
         self._dispatch = dispatch
 
     def send(self, request: PendingRequest, action: Send) -> None:
-        """Start an attempt, unless its client has disconnected, its deadline has passed or none is left."""
+        """Start an attempt, or report it as not sent.
+
+        It is not sent if the client has disconnected, the deadline has passed or the request has had as many
+        attempts as the settings allow.
+        """
         number = len(request.attempts)
         sent_us = self._clock.now_us()
         timeout_us = min(action.timeout_us, request.deadline_us - sent_us)
--- a/load_balancer/gateway/client_connection.py
+++ b/load_balancer/gateway/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection from a client: its requests are answered one at a time, in order."""
+"""One connection from a client, whose requests are answered one at a time, in order."""
 
 from __future__ import annotations
 
@@ -16,7 +16,8 @@
 from load_balancer.gateway.reverse_proxy import ReverseProxy
 from load_balancer.gateway.socket_state import has_peer_closed
 
-PIPELINE_LIMIT = 8  # requests queued on one connection
+# Maximum number of requests that are queued on one connection.
+PIPELINE_LIMIT = 8
 READINESS_PATH = b"/health/ready"
 TOO_MANY_CONNECTIONS = text_response(503, "too many connections")
 
@@ -26,7 +27,7 @@
 
     Attributes:
         loop: Runs the connection.
-        proxy: Takes its requests.
+        proxy: Accepts its requests.
         lookup: Indexes of classes and tenants by name.
         draining: Whether the gateway is shutting down.
     """
@@ -40,7 +41,7 @@
         """Register a connection that has been opened."""
 
     def discard(self, connection: ClientConnection) -> None:
-        """Forget a connection that is closed."""
+        """Remove a connection that is closed."""
 
 
 class ClientConnection(asyncio.Protocol):
@@ -71,7 +72,8 @@
         self.is_write_paused = False
         self.last_activity = self.reader.began_at
         self._owner = owner
-        self._pending: PendingRequest | None = None  # the current one, once the proxy has accepted it
+        # The current request, once the proxy has accepted it.
+        self._pending: PendingRequest | None = None
 
     # State
 
@@ -82,12 +84,12 @@
 
     @property
     def is_evictable(self) -> bool:
-        """Whether it may be closed to make room for another."""
+        """Whether it may be closed so that another connection can be accepted."""
         return self.is_idle and not self.is_closing_when_idle and not self.reader.is_stopped
 
     @property
     def has_only_partial_request(self) -> bool:
-        """Whether a part of a request has come, and nothing else is to be answered."""
+        """Whether only a part of a request has been received and no other answer is pending."""
         return self._has_nothing_to_answer and self.reader.has_partial_request
 
     @property
@@ -100,7 +102,7 @@
         return self.current is not None or (bool(self.waiting) and not self.is_write_paused)
 
     def has_disconnected(self) -> bool:
-        """Return whether the client has closed, or only its sending side, read by the loop or not."""
+        """Return whether the client has closed its sending side or all, even if the loop has not read it."""
         return self.transport is None or self.transport.is_closing() or has_peer_closed(self.transport)
 
     # asyncio.Protocol
@@ -195,9 +197,9 @@
             self._pending = pending
 
     def _answer(self, incoming: IncomingRequest, response: Response) -> None:
-        if incoming is not self.current:  # its client has disconnected, or it has been answered
+        if incoming is not self.current:  # the client has disconnected, or the request has been answered
             return
-        # The connection is not closed while a request that has been read waits for its answer.
+        # The connection stays open while a request that has been read waits for its answer.
         is_last_answer = (self.is_over_limit or self._owner.draining) and not self.waiting
         close = not incoming.keep_alive or is_last_answer
         self.current = self._pending = None
@@ -216,7 +218,7 @@
     # Closing
 
     def close_when_idle(self, loop_iterations: int = 2) -> None:
-        """Close after some turns of the loop, in which a request that waits in the socket is read first."""
+        """Close after some iterations of the loop, in which a request already in the socket is read first."""
         self.is_closing_when_idle = loop_iterations > 0
         if loop_iterations > 0:
             self._owner.loop.call_soon(self.close_when_idle, loop_iterations - 1)
--- a/load_balancer/gateway/client_request.py
+++ b/load_balancer/gateway/client_request.py
@@ -12,12 +12,12 @@
     Attributes:
         request_class: Index of its class in the settings.
         timeout_us: How long the client waits for an answer, in microseconds.
-        waited_us: Time since its last byte was read, in microseconds.
+        waited_us: Time from the reading of its last byte to its parsing, in microseconds.
         headers: The end-to-end headers, encoded as lines.
         key: Affinity key, if the target names one.
-        work_us: The client's estimate of the work, if it gave one.
+        work_us: The client's estimate of the work in microseconds, if it gave one.
         is_retry: Whether the client has sent it before.
-        tenant: Index of its tenant in the settings.
+        tenant: Index of its tenant in the settings; 0 if they declare none.
         is_write: Whether the client marks it as a write.
     """
 
@@ -38,7 +38,7 @@
         """Return the bytes for an endpoint.
 
         Args:
-            timeout_us: The time left, sent in the request's header in milliseconds, rounded up.
+            timeout_us: The remaining time, sent in a header in milliseconds, rounded up.
         """
         has_length = self.body or self.method != b"GET"
         return b"%b %b HTTP/1.1\r\n%bRequest-Timeout-Ms: %d\r\n%b\r\n%b" % (
--- a/load_balancer/gateway/client_server.py
+++ b/load_balancer/gateway/client_server.py
@@ -16,22 +16,30 @@
 BACKLOG = 1024
 SWEEP_INTERVAL_S = 0.25
 
-# Connections over the limit on which requests are read, so that they are answered 503 or whether the gateway
-# is ready; and connections beyond these, until those that were chosen to make room have closed.
+# Maximum number of connections over the limit whose requests are still read. A readiness check on them is
+# answered as usual, any other request with 503.
 MAX_REJECTED_CONNECTIONS = RESERVED_SOCKETS // 2
+# Connections that are accepted beyond these while the connections chosen for eviction are being closed.
 EVICTION_HEADROOM_CONNECTIONS = RESERVED_SOCKETS // 8
 
 IDLE_TIMEOUT_S = 75.0
-MIN_EVICTION_IDLE_S = 2.0  # after which an idle connection may be closed to make room for another
-# A client that sends nothing, or never the whole of a request, is answered within 3 s of connecting.
-FIRST_REQUEST_TIMEOUT_S = 2.1  # from connecting to the last byte of the first request
-REQUEST_READ_TIMEOUT_S = 2.1  # from the first byte of a later request to its last, however slowly it comes
-
-# Of a graceful shutdown. New connections go on coming for 0.4 s after a planned restart has begun.
+# How long a connection must be idle before it may be closed so that another can be accepted.
+MIN_EVICTION_IDLE_S = 2.0
+# Time from connecting to the last byte of the first request. With the interval of the sweep, a client that
+# sends nothing or only a part of a request is closed or answered 408 within 3 s of connecting.
+FIRST_REQUEST_TIMEOUT_S = 2.1
+# Time from the first byte of a later request to its last byte, however slowly its bytes arrive.
+REQUEST_READ_TIMEOUT_S = 2.1
+
+# How long a graceful shutdown accepts connections: clients open new ones for up to 0.4 s after a planned
+# restart has begun.
 ACCEPT_GRACE_S = 0.5
+# How long a graceful shutdown serves requests before it begins to close connections.
 REQUEST_GRACE_S = 0.6
-PARTIAL_REQUEST_GRACE_S = 0.1  # for the rest of a request received in part
-UNREAD_ANSWER_GRACE_S = 3.0  # for a client to read the answers that it has been sent
+# How long it then waits for the rest of a request that has been received in part.
+PARTIAL_REQUEST_GRACE_S = 0.1
+# How long it then waits for a client to read the answers sent to it.
+UNREAD_ANSWER_GRACE_S = 3.0
 SHUTDOWN_POLL_S = 0.01
 
 
@@ -39,11 +47,13 @@
     """Accepts connections from clients.
 
     Attributes:
+        proxy: Accepts the requests.
+        loop: Runs the server.
         lookup: Indexes of classes and tenants by name.
         max_connections: How many connections are served at once.
         connections: All open connections.
         draining: Whether a graceful shutdown has begun.
-        listener: None until the start.
+        listener: The server socket; None until `start`.
     """
 
     def __init__(self, config: Config, proxy: ReverseProxy, loop: asyncio.AbstractEventLoop) -> None:
@@ -74,8 +84,8 @@
         """Register a new connection, within the limit on file descriptors.
 
         Over the limit an idle connection is closed; where there is none, the new one is answered 503. Of
-        those that are answered 503, the oldest that has sent no request is closed first. So any number
-        of idle clients cannot block a readiness check on a new connection.
+        those that are answered 503, the oldest that has sent no request is closed first. Idle clients
+        therefore cannot block a readiness check on a new connection.
         """
         excess = len(self.connections) - self.max_connections
         if excess >= 0:
@@ -83,7 +93,7 @@
         self.connections.add(connection)
 
     def discard(self, connection: ClientConnection) -> None:
-        """Forget a connection that is closed."""
+        """Remove a connection that is closed."""
         self.connections.discard(connection)
 
     def _evict_or_reject(self, connection: ClientConnection, excess: int) -> None:
@@ -137,7 +147,7 @@
         """Shut down gracefully: accept and answer requests for a grace period, then close."""
         self.draining = True
         await asyncio.sleep(ACCEPT_GRACE_S)
-        for _ in range(2):  # turns of the loop, in which it accepts pending connections
+        for _ in range(2):  # iterations of the loop, in which it accepts pending connections
             await asyncio.sleep(0)
         self.stop_listening()
         await asyncio.sleep(REQUEST_GRACE_S - ACCEPT_GRACE_S)
@@ -149,7 +159,7 @@
             self.listener.close()
 
     async def close_connections(self) -> None:
-        """Close each connection once no answer is pending on it, and wait for the last."""
+        """Close each connection once no answer is pending on it, and wait until all are closed."""
         began = self.loop.time()
         while self.connections:
             waited_s = self.loop.time() - began
@@ -163,5 +173,5 @@
         elif connection.is_idle:
             connection.close_when_idle()
         elif connection.has_only_partial_request and waited_s > PARTIAL_REQUEST_GRACE_S:
-            # Answered rather than closed: the rest may have arrived by now and would be lost.
+            # Answered rather than closed: a close would lose the rest if it has just arrived.
             connection.reject_partial_request(HttpRequestError(503, "ending; trying again is harmless"))
--- a/load_balancer/gateway/clock.py
+++ b/load_balancer/gateway/clock.py
@@ -6,7 +6,7 @@
 
 
 class Clock:
-    """Microseconds since the Unix epoch that never step back, whatever is done to the wall clock."""
+    """A clock in microseconds since the Unix epoch; later changes of the wall clock do not affect it."""
 
     def __init__(self) -> None:
         self._offset_ns = time.time_ns() - time.monotonic_ns()
--- a/load_balancer/gateway/discovery.py
+++ b/load_balancer/gateway/discovery.py
@@ -1,4 +1,4 @@
-"""The client of discovery: carries out subscriptions and polls, and keeps the endpoint list cached."""
+"""The client of discovery: executes subscriptions and polls, and caches the endpoint list."""
 
 from __future__ import annotations
 
@@ -22,21 +22,23 @@
 
 ENDPOINTS_PATH = "/registry/instances"
 LOGGED_MESSAGE_CHARACTERS = 200
-# A change must be known this long after discovery had it and could be reached, whichever call failed. In
-# that time the pending call must time out, the wait before the next must pass (0.2 s after one failure, 0.4
-# s after two, 0.8 s after more, as the balancer sets it), and that call, which may queue and may be
-# rejected at the end, must be answered.
+# The longest time from a change at a reachable discovery until the gateway knows it, whichever call failed.
+# In that time the pending call must time out, the wait before the next call must pass (0.2 s after one
+# failure, 0.4 s after two, 0.8 s after more, as the balancer sets it), and the next call must be answered,
+# which discovery may queue and may reject at the end.
 CHANGE_DEADLINE_S = 6.0
+# How long discovery may queue a call.
 QUEUED_CALL_S = 2.0
-# Waits before a watch of a pushed list is opened again, doubled with each failure in a row: half a second
-# after a pushed change nothing may be sent to a draining endpoint, whether a watch is open or not.
+# Wait before the watch of a pushed list is opened again; it doubles with each consecutive failure. It is
+# short because nothing may be sent to a draining endpoint half a second after the change is pushed, even if
+# no watch was open.
 REOPEN_BACKOFF_S = 0.05
 REOPEN_BACKOFF_MAX_S = 0.25
-MAX_COUNTED_FAILURES = 10
+MAX_COUNTED_FAILURES = 10  # bounds the exponent of the wait
 
 
 class DiscoveryClient:
-    """Carries out the balancer's subscriptions and polls.
+    """A client of discovery that executes the balancer's subscriptions and polls.
 
     Args:
         loop: The loop on which the calls run.
@@ -70,7 +72,7 @@
         self._polls: set[DiscoveryCall] = set()
 
     def start(self, cached_list: dict[str, Any]) -> None:
-        """Begin with a list in discovery's form that was cached earlier; open a watch of a pushed list."""
+        """Publish a cached list, which has the form of a message of discovery, and watch a pushed list."""
         event = parse_list({"endpoints": [], **cached_list, "snapshot": True}, self._names, ListKind.CACHED)
         self._index = event.index
         self._publish(event)
@@ -78,7 +80,7 @@
             self.set_subscribed(True)
 
     def close(self) -> None:
-        """End all calls without a report."""
+        """End all calls without reporting them as failed."""
         for call in (self.current_watch, *self._polls):
             if call is not None:
                 call.close()
@@ -103,7 +105,7 @@
     def change_address(self, address: Address) -> None:
         """Repeat the open watch and polls at another address, at once.
 
-        A watch is opened there also where the last one has failed and its retry is not yet due, as a change
+        A watch is opened there even if the last one has failed and its retry is not yet due, because a change
         must be known 4 s after the address has changed.
         """
         if address == self._address:
@@ -120,7 +122,7 @@
             self._polls.discard(call)
 
     def on_call_failed(self, call: DiscoveryCall) -> None:
-        """Report a failed call; a watch of a pushed list is opened again after a backoff instead."""
+        """Report a failed call; the watch of a pushed list is opened again after a wait instead."""
         self._polls.discard(call)
         if call is self.current_watch:
             self.current_watch = None
@@ -135,7 +137,7 @@
         self._loop.call_later(backoff_s * random.uniform(0.5, 1.0), self.set_subscribed, True)
 
     def _on_message(self, data: bytes) -> bool:
-        """Publish one message; returns False, with the list as it was, if it cannot be read."""
+        """Publish one message; return False and leave the list unchanged if it cannot be read."""
         try:
             event = decode_list(data, self._names, self._cached)
         except DiscoveryFormatError as error:
--- a/load_balancer/gateway/discovery_call.py
+++ b/load_balancer/gateway/discovery_call.py
@@ -12,11 +12,11 @@
 from load_balancer.gateway.discovery_messages import JsonStreamSplitter
 from load_balancer.gateway.event_log import log_event
 
-# Allows for one lost SYN packet, which the kernel sends again after 1 s.
+# Allows for one lost SYN packet, which the kernel retransmits after 1 s.
 CONNECT_TIMEOUT_S = 1.2
-# A watch brings a line every 2 s; without a limit, one whose peer vanished would go unnoticed. Only the end
-# of a head, a message or an empty line and the first byte of a further message restart the timer, as a peer
-# that sends a byte now and then makes no progress.
+# Discovery sends a line on a watch every 2 s; the timeout detects a peer that has vanished. Only the end of a
+# head, a message or an empty line and the first byte of a further message restart the timer, so that a peer
+# that sends single bytes without completing a message times out too.
 INACTIVITY_TIMEOUT_S = 3.0
 MAX_MESSAGE_BYTES = 8 * 1024 * 1024
 
@@ -28,7 +28,7 @@
         loop: The loop on which the call runs.
         address: Where discovery accepts connections.
         target: Path and query of the request.
-        on_message: Takes the text of one message; returns whether it could be read.
+        on_message: Called with the text of one message; returns whether it could be read.
         on_failure: Called at most once, when the call has ended without having been closed.
 
     Attributes:
@@ -55,7 +55,7 @@
         self._connect_task = loop.create_task(self._connect())
 
     def close(self) -> None:
-        """End the call without a report."""
+        """End the call without reporting a failure."""
         self.is_closed = True
         if self._inactivity_timer is not None:
             self._inactivity_timer.cancel()
@@ -66,7 +66,7 @@
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await self._loop.create_connection(lambda: self, *self._address)
-        except (OSError, TimeoutError, ValueError) as error:  # ValueError: the host is no valid name
+        except (OSError, TimeoutError, ValueError) as error:  # ValueError: malformed host name
             self._fail(f"no connection: {error}")
 
     def _fail(self, reason: str) -> None:
@@ -80,10 +80,10 @@
         if self._inactivity_timer is not None:
             self._inactivity_timer.cancel()
         self._inactivity_timer = self._loop.call_later(
-            INACTIVITY_TIMEOUT_S, self._fail, "silent for too long"
+            INACTIVITY_TIMEOUT_S, self._fail, "no progress within the inactivity timeout"
         )
 
-    # Called by the transport
+    # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the request."""
@@ -100,27 +100,27 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self._fail(f"malformed answer: {error}")
+            self._fail(f"malformed response: {error}")
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Report the call as failed unless it is over."""
         del exc
         self._fail("connection lost")
 
-    # Called by the parser
+    # Callbacks of the parser
 
     def on_headers_complete(self) -> None:
         """Accept a response of status 200 only."""
         status = self._parser.get_status_code()
         if status != 200:
-            self._fail(f"answered {status}")
+            self._fail(f"response status {status}")
         elif not self.is_closed:
             self._restart_inactivity_timer()
 
     def on_body(self, body: bytes) -> None:
-        """Read a piece of the response's body."""
+        """Read a piece of the response's body, within the limit on a message."""
         if not self.is_closed and self._read_body(body) > MAX_MESSAGE_BYTES:
-            self._fail("a list too long")
+            self._fail("a message is too long")
 
     def on_message_complete(self) -> None:
         """Conclude the call at the end of the response's body."""
@@ -130,7 +130,7 @@
     # For subclasses
 
     def _read_body(self, body: bytes) -> int:
-        """Read a piece of the body; returns how many bytes are buffered."""
+        """Read a piece of the body and return the number of buffered bytes."""
         raise NotImplementedError
 
     def _conclude(self) -> None:
@@ -139,7 +139,7 @@
 
 
 class WatchCall(DiscoveryCall):
-    """A call whose response brings one message after another; its end is a failure."""
+    """A call whose response is a stream of messages; the end of the stream is a failure."""
 
     def __init__(
         self,
@@ -157,14 +157,14 @@
         completed_before = splitter.completed
         begins_message = completed_before > 0 and not splitter.buffered_bytes
         for message in splitter.feed(body):
-            if not self.is_closed:  # the message before may have closed the call
+            if not self.is_closed:  # an earlier message may have closed the call
                 self._on_message(message)
         if not self.is_closed and (begins_message or splitter.completed > completed_before):
             self._restart_inactivity_timer()
         return splitter.buffered_bytes
 
     def _conclude(self) -> None:
-        self._fail("the watch ended")
+        self._fail("the response to the watch ended")
 
 
 class PollCall(DiscoveryCall):
--- a/load_balancer/gateway/discovery_messages.py
+++ b/load_balancer/gateway/discovery_messages.py
@@ -57,7 +57,7 @@
     index: int = 0
 
     def to_balancer_event(self) -> EndpointListReceived:
-        """Return the event by which the balancer learns of this list."""
+        """Return the event that passes this list to the balancer."""
         return EndpointListReceived(self.kind, tuple(entry.endpoint for entry in self.endpoints))
 
 
@@ -71,7 +71,8 @@
 
     Args:
         raw: The entry as decoded from JSON.
-        names: The names of zones and endpoint kinds that the settings declare; undeclared ones are ignored.
+        names: The names of zones and endpoint kinds that the settings declare. Where they declare no zones,
+            or no kinds, that field of the entry is ignored.
 
     Raises:
         DiscoveryFormatError: If a field is missing, unknown or out of range.
@@ -91,7 +92,7 @@
         raise DiscoveryFormatError("weight or since_ms is out of range")
     name = raw["name"]
     if not isinstance(name, str) or not name:
-        raise DiscoveryFormatError("name is not a text")
+        raise DiscoveryFormatError("name is not a string or is empty")
     endpoint = Endpoint(
         id=endpoint_id_of(name),
         status=STATUSES[raw["status"]],
@@ -140,7 +141,7 @@
 def _parse_or_fall_back(
     item: Any, names: NameTable, fallback: Mapping[str, DiscoveredEndpoint]
 ) -> DiscoveredEndpoint | None:
-    """Read an entry; where that fails, return the fallback of the same name if there is one."""
+    """Read an entry; if that fails, log it and return the fallback of the same name, if any."""
     try:
         return parse_entry(item, names)
     except DiscoveryFormatError as error:
@@ -176,7 +177,7 @@
         self._partial_line_bytes = 0
         self._message_lines: list[bytes] = []
         self._message_bytes = 0
-        self._depth = 0  # of unclosed braces and brackets
+        self._depth = 0  # number of braces and brackets that are not closed yet
 
     @property
     def buffered_bytes(self) -> int:
@@ -199,7 +200,8 @@
         """Return the objects that end with this line, and malformed text that ends before it."""
         depth = _count_unclosed(line)
         is_empty = not line.strip()
-        # Neither a complete list on a line of its own nor an empty line occurs within another object.
+        # Neither a complete list on one line nor an empty line occurs within another object: an object that
+        # is open before such a line was cut off.
         is_list = depth == 0 and line.startswith(b"{") and b'"endpoints"' in line
         if self._message_lines and (is_list or is_empty):
             return [self._pop_message(), *self._add_line(line)]
--- a/load_balancer/gateway/event_dispatcher.py
+++ b/load_balancer/gateway/event_dispatcher.py
@@ -12,7 +12,7 @@
 
 
 class EventDispatcher:
-    """Queues events for a balancer and executes its actions."""
+    """A queue of events for a balancer, whose actions it executes."""
 
     def __init__(
         self,
@@ -26,10 +26,10 @@
 
         Args:
             balancer: Handles the events.
-            clock: Read for each event.
-            execute: Carries out an action.
-            decision_failed: Takes an event and the exception that the balancer raised for it.
-            action_failed: Takes an action and the exception that its execution raised.
+            clock: Gives the time of each event.
+            execute: Executes an action.
+            decision_failed: Called with an event and the exception that the balancer raised for it.
+            action_failed: Called with an action and the exception that its execution raised.
         """
         self._balancer = balancer
         self._clock = clock
--- a/load_balancer/gateway/event_log.py
+++ b/load_balancer/gateway/event_log.py
@@ -1,4 +1,4 @@
-"""The gateway's log: one line an event on standard error, as text or as JSON.
+"""The gateway's log: one line per event on standard error, as text or as JSON.
 
 Every event is registered in `log_events`, from which docs/events.md is made:
 `python -m load_balancer.gateway.event_log` prints the page. Repeats are counted, see `repeat_counter`.
@@ -23,7 +23,8 @@
 from load_balancer.gateway.repeat_counter import Fields, RepeatCounter
 
 LOGGER_NAME = "load_balancer"
-MAX_VALUE_CHARACTERS = 300  # of a field, as values from outside may be of any length
+# Longer values of fields are cut, as values from outside may have any length.
+MAX_VALUE_CHARACTERS = 300
 # Keys of an event's dictionary that are not among its fields.
 NON_FIELD_KEYS = frozenset(("event", "exc_info", "exception", "_record", "_from_structlog"))
 
@@ -62,7 +63,7 @@
 
 
 def make_formatter(environ: Mapping[str, str]) -> logging.Formatter:
-    """Return the formatter that ROUTER_LOG asks for: `json`, else text."""
+    """Return the formatter that ROUTER_LOG selects: JSON for `json`, else text."""
     if environ.get("ROUTER_LOG") == "json":
         return ProcessorFormatter(
             processors=[
@@ -76,10 +77,10 @@
 
 
 class LibraryHandler(logging.Handler):
-    """Logs the records of libraries as `library.message` events."""
+    """A handler that logs the records of libraries as `library.message` events."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Log a record of another logger at the registered level next below its own."""
+        """Log a record of another logger at its level, rounded down to a standard one."""
         if record.name == LOGGER_NAME:
             return
         level = min(max(logging.DEBUG, record.levelno // 10 * 10), logging.CRITICAL)
@@ -91,14 +92,14 @@
 
 
 class FormattableEvent(dict[str, Any]):
-    """An event on its way to the formatter; handlers with another formatter see its text form."""
+    """An event as passed to the formatter; a handler with another formatter writes its text form."""
 
     def __str__(self) -> str:
         return format_sentence(self)
 
 
 def format_sentence(event_dict: Mapping[str, Any]) -> str:
-    """Return an event's sentence, followed by the fields that this does not hold as `key=value`."""
+    """Return an event's sentence, followed by the fields that it does not contain as `key=value`."""
     event = EVENTS[event_dict["event"]]
     excluded = event.sentence_fields | NON_FIELD_KEYS
     other_fields = {name: value for name, value in event_dict.items() if name not in excluded}
@@ -106,7 +107,7 @@
     return f"{sentence} {LogfmtRenderer()(None, '', other_fields)}" if other_fields else sentence
 
 
-# Processors of structlog, whose signature they share
+# Processors for structlog, which defines their signature
 
 
 def _wrap_event(logger: WrappedLogger, name: str, event_dict: EventDict) -> tuple[Any, Any]:
--- a/load_balancer/gateway/health_checks.py
+++ b/load_balancer/gateway/health_checks.py
@@ -17,7 +17,7 @@
 
 
 class HealthChecker:
-    """Sends health checks and reports their outcomes."""
+    """A sender of health checks that reports their outcomes to the balancer."""
 
     def __init__(self, upstream: UpstreamPool, clock: Clock, dispatch: Callable[[Event], None]) -> None:
         self._upstream = upstream
--- a/load_balancer/gateway/http_message.py
+++ b/load_balancer/gateway/http_message.py
@@ -11,7 +11,7 @@
 BODY_LIMIT = 64 * 1024  # bytes
 HEAD_LIMIT = 16 * 1024  # bytes
 
-# Headers that concern one connection alone, or that the gateway writes itself.
+# Headers that concern a single connection, or that the gateway writes itself.
 HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
@@ -48,11 +48,11 @@
     body: bytes = b""
 
     def header(self, name: bytes) -> bytes:
-        """Return the first value of a header by its lower-case name, or nothing."""
+        """Return the first value of a header by its lower-case name; empty if it is missing."""
         return next((value for key, value in self.headers if key == name), b"")
 
     def outcome(self) -> Outcome:
-        """Return how an attempt that got this response has ended."""
+        """Return the outcome of an attempt that received this response."""
         if self.status == 200:
             return Outcome.OK
         if self.status in (503, 504) and self.header(b"not-started").strip() == b"1":
@@ -75,7 +75,7 @@
 
 
 def text_response(status: int, text: str, *headers: Header) -> Response:
-    """Return a response of the gateway's own with one line of plain text."""
+    """Return a response that the gateway makes itself, with one line of plain text."""
     return Response(status, [(b"content-type", b"text/plain"), *headers], text.encode() + b"\n")
 
 
--- a/load_balancer/gateway/incoming_request.py
+++ b/load_balancer/gateway/incoming_request.py
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class IncomingRequest:
-    """A request as it is read.
+    """A request that is being read.
 
     Attributes:
         received_at: Loop time of its last byte, in seconds.
@@ -41,7 +41,7 @@
 
 
 class RequestListener(Protocol):
-    """Receives the requests that a reader has parsed."""
+    """The receiver of the requests that a reader has parsed."""
 
     def head_received(self, request: IncomingRequest) -> None:
         """Handle the head of a request."""
@@ -51,11 +51,11 @@
 
 
 class RequestReader:
-    """Parses the bytes of one connection.
+    """A parser of the bytes of one connection.
 
     Attributes:
-        is_stopped: Whether anything that still comes is ignored: the framing is lost, or there is to be no
-            further request.
+        is_stopped: Whether further bytes are ignored, because the framing is lost or no further request is
+            expected.
         has_partial_request: Whether a request has been received in part.
         has_read_request: Whether a complete request has been received.
         began_at: Loop time at which the current request began: for the first one that of connecting, for
@@ -71,7 +71,8 @@
         self._now = now
         self._parser = httptools.HttpRequestParser(self)
         self._request = IncomingRequest()
-        self._head_bytes: int | None = None  # of a head that has not ended
+        # Bytes received of a head that is not complete; None while no head is being read.
+        self._head_bytes: int | None = None
 
     def feed(self, data: bytes) -> None:
         """Parse a piece of the client's bytes."""
--- a/load_balancer/gateway/lingering_close.py
+++ b/load_balancer/gateway/lingering_close.py
@@ -8,10 +8,10 @@
 
 
 class LingeringClose:
-    """Closes the sending side at once, and the connection after `LINGER_S` or later.
+    """The lingering close of one connection: its sending side at once, the rest after `LINGER_S` or later.
 
-    What the client still sends is read and dropped until then. Closing over unread bytes would send a reset,
-    which can overtake the last answer.
+    Until then, bytes from the client are read and discarded. Closing a socket that holds unread bytes would
+    send a reset, which can reach the client before it has read the last answer.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, transport: asyncio.Transport) -> None:
@@ -24,7 +24,7 @@
         self._loop.call_later(LINGER_S, self.close_if_sent)
 
     def close_if_sent(self) -> None:
-        """Close, unless a part of the answer is still to be sent."""
+        """Close the connection, or wait longer if a part of the answer is not sent yet."""
         if self._transport.get_write_buffer_size() > 0:
             self._schedule_close()
         else:
--- a/load_balancer/gateway/log_events.py
+++ b/load_balancer/gateway/log_events.py
@@ -1,4 +1,4 @@
-"""The registry of log events: each one's stable name, level, sentence and fields."""
+"""The registry of log events: the stable name, level, sentence and fields of each."""
 
 from __future__ import annotations
 
@@ -6,7 +6,8 @@
 from logging import ERROR, INFO, WARNING
 from string import Formatter
 
-# How many events are counted apart at a time. It bounds the memory and the output where values never repeat.
+# How many different events are counted separately at a time: the bound on memory and output where the values
+# of events never repeat.
 MAX_COUNTED_KEYS = 64
 
 
@@ -17,10 +18,10 @@
     Attributes:
         name: Stable name, by which the event is logged.
         level: Level of the `logging` module.
-        sentence: What the text form says; `{field}` stands for the field's value.
+        sentence: The text form of the event; `{field}` stands for the field's value.
         meaning: When the event is logged and what follows from it.
         fields: Names of all fields that it may carry, besides those in `COMMON_FIELDS`.
-        key: Names of the fields whose values tell an event from its repeats.
+        key: Names of the fields in which an event and its repeats have the same values.
         is_bare: Whether the text form leaves out time and level.
     """
 
@@ -34,34 +35,34 @@
 
     @property
     def sentence_fields(self) -> set[str]:
-        """The names of the fields that the sentence holds."""
+        """The names of the fields that the sentence contains."""
         return {name for _, name, _, _ in Formatter().parse(self.sentence) if name}
 
 
 REQUEST_FIELDS = ("request_id", "request_class", "tenant", "settings_version")
 COMMON_FIELDS = ("repeated", "exception")
 FIELDS = {
-    "address": "of the endpoint or of discovery, as host:port",
-    "cooldown_s": "seconds until the circuit breaker is half-open and lets trial requests through",
-    "endpoint_id": "the endpoint's number, made from its name, the same at every gateway",
-    "entry": "an entry of an endpoint list as it came, cut to 200 characters",
-    "error": "what was wrong",
-    "event_counts": "the events that were counted, each with its number",
+    "address": "address of the endpoint or of discovery, as host:port",
+    "cooldown_s": "seconds until the circuit breaker becomes half-open and admits trial requests",
+    "endpoint_id": "the endpoint's number: a hash of its name, the same at every gateway",
+    "entry": "the entry of the endpoint list as received, cut to 200 characters",
+    "error": "the text of the error; for errors of the gateway itself, the exception with its type",
+    "event_counts": "the names of the events that were counted, each with its count",
     "exception": "the traceback",
-    "listen": "the address that clients connect to",
+    "listen": "the address at which the gateway accepts connections from clients",
     "logger": "the name of the library's logger",
     "message": "what a library logged",
-    "name": "the gateway's, from its configuration",
-    "payload": "the message as it came, cut to 200 characters",
-    "reason": "why the call ended",
-    "repeated": "how often the event was repeated since it was last written; other fields are the last one's",
+    "name": "the gateway's name in its configuration",
+    "payload": "the message of discovery as received, cut to 200 characters",
+    "reason": "why the call to discovery failed",
+    "repeated": "repeats of the event since it was last written; the other fields are those of the last one",
     "request_class": "the request's class, by name",
     "request_id": "the request's number, counted from the gateway's start",
-    "settings_digest": "the beginning of the digest of the settings, hexadecimal",
-    "settings_version": "the number of the settings in force; with a request, of those that it arrived under",
-    "state": "of the circuit breaker",
-    "subject": "the event or action that was handled, cut to 300 characters",
-    "suppressed": "lines that the balancer suppressed since its last one, as it logs one in 100 ms at most",
+    "settings_digest": "the first hexadecimal digits of the digest of the settings",
+    "settings_version": "the number of the settings in force; for a request, those in force when it arrived",
+    "state": "the new state of the circuit breaker",
+    "subject": "the event or action that failed, cut to 300 characters",
+    "suppressed": "number of lines suppressed since the balancer's last one; it logs at most one per 100 ms",
     "tenant": "the request's tenant, by name",
 }
 EVENTS = {
@@ -71,14 +72,14 @@
             "gateway.listening",
             INFO,
             "{name} listens on {listen}",
-            "The gateway accepts requests from here on.",
+            "The gateway has started and accepts requests.",
             ("name", "listen", "settings_version"),
         ),
         RegisteredEvent(
             "config.invalid",
             ERROR,
             "load_balancer: {error}",
-            "The configuration cannot be used; the process ends with 2.",
+            "The configuration cannot be used; the process exits with status 2.",
             ("error",),
             is_bare=True,
         ),
@@ -86,7 +87,7 @@
             "gateway.start_failed",
             ERROR,
             "load_balancer: cannot start: {error}",
-            "An address or another resource is not available; the process ends with 1.",
+            "An address or another resource is not available; the process exits with status 1.",
             ("error",),
             is_bare=True,
         ),
@@ -94,21 +95,21 @@
             "config.applied",
             INFO,
             "settings version {settings_version} is in force: digest {settings_digest}",
-            "SIGHUP came and other settings hold for requests from now on.",
+            "The configuration was reloaded after SIGHUP; the new settings apply to requests from now on.",
             ("settings_version", "settings_digest"),
         ),
         RegisteredEvent(
             "config.unchanged",
             INFO,
             "settings version {settings_version} stays in force: digest {settings_digest} is the same",
-            "SIGHUP came and the settings are byte for byte those in force.",
+            "The configuration was reloaded after SIGHUP; its settings are identical to those in force.",
             ("settings_version", "settings_digest"),
         ),
         RegisteredEvent(
             "config.rejected",
             WARNING,
-            "rejected the new configuration: {error}",
-            "SIGHUP came and the file cannot be used; nothing has changed.",
+            "rejected the new configuration, the old one stays in force: {error}",
+            "SIGHUP was received, but the configuration cannot be used; nothing has changed.",
             ("error", "settings_version"),
             ("error",),
         ),
@@ -116,14 +117,14 @@
             "discovery.address_changed",
             INFO,
             "discovery: address changed to {address}",
-            "The configuration names another address of discovery; calls are repeated there.",
+            "The new configuration names another address of discovery; open calls are repeated there.",
             ("address", "settings_version"),
         ),
         RegisteredEvent(
             "discovery.call_failed",
             INFO,
-            "discovery: {reason}",
-            "A watch or a poll failed; it is retried.",
+            "discovery call failed: {reason}; retrying",
+            "A watch or a poll failed; it is retried after a wait.",
             ("reason",),
             ("reason",),
         ),
@@ -131,7 +132,7 @@
             "discovery.entry_skipped",
             WARNING,
             "skipped a list entry: {error}: {entry}",
-            "An entry of the endpoint list cannot be read; an endpoint of that name stays as it was.",
+            "An entry of the endpoint list cannot be read; a known endpoint of that name is unchanged.",
             ("error", "entry"),
             ("error",),
         ),
@@ -139,7 +140,7 @@
             "discovery.message_skipped",
             WARNING,
             "skipped a message of discovery: {error}: {payload}",
-            "A message of discovery is not an endpoint list; the list stays as it was.",
+            "A message of discovery is not a valid endpoint list; the known list stays unchanged.",
             ("error", "payload"),
             ("error",),
         ),
@@ -147,7 +148,8 @@
             "circuit_breaker.changed",
             INFO,
             "endpoint {endpoint_id}: circuit breaker {state}",
-            "A request's outcome opened or closed an endpoint's breaker; with a class, that of this pair.",
+            "The outcome of a request changed the state of an endpoint's circuit breaker; with "
+            "`request_class`, of the breaker for this class and tenant alone.",
             ("endpoint_id", "address", "state", "cooldown_s", "suppressed", *REQUEST_FIELDS),
             ("endpoint_id", "request_class", "tenant"),
         ),
@@ -155,87 +157,87 @@
             "endpoint_list.unavailable",
             INFO,
             "the endpoint list could not be read; retrying",
-            "The balancer has no answer from discovery and asks again.",
+            "A call of the balancer to discovery failed; the balancer repeats it.",
             ("suppressed",),
         ),
         RegisteredEvent(
             "request.duplicate_id",
             INFO,
             "request {request_id} arrived twice; the second is ignored",
-            "The balancer was given two requests of one number: a fault of the gateway.",
+            "The balancer received two requests with the same id, which is a bug of the gateway.",
             ("suppressed", *REQUEST_FIELDS),
         ),
         RegisteredEvent(
             "request.unknown_class",
             INFO,
-            "request {request_id} is of an unknown class",
-            "The balancer was given a request of no known class: a fault of the gateway.",
+            "request {request_id} has an unknown class and fails",
+            "The balancer received a request of a class that does not exist, which is a bug of the gateway.",
             ("suppressed", *REQUEST_FIELDS),
         ),
         RegisteredEvent(
             "balancer.suppressed",
             INFO,
-            "the balancer suppressed {suppressed} lines",
-            "More happened in a short time than the balancer logs.",
+            "the balancer suppressed {suppressed} log lines",
+            "The balancer had more to log than one line per 100 ms; the other lines are counted.",
             ("suppressed",),
         ),
         RegisteredEvent(
             "balancer.failed",
             ERROR,
-            "the balancer failed on {subject}",
-            "A decision raised an exception; the request that it concerns is answered 500.",
+            "the balancer raised an exception for {subject}",
+            "A decision raised an exception; the request that it concerns, if any, is answered 500.",
             ("subject", "error", "endpoint_id", "address", *REQUEST_FIELDS),
             ("error",),
         ),
         RegisteredEvent(
             "action.failed",
             ERROR,
-            "failed to carry out {subject}",
-            "An action raised an exception; the request that it concerns is answered 500.",
+            "failed to execute {subject}",
+            "An action raised an exception; the request that it concerns, if any, is answered 500.",
             ("subject", "error", "endpoint_id", "address", *REQUEST_FIELDS),
             ("error",),
         ),
         RegisteredEvent(
             "request.failed",
             ERROR,
-            "failed on a request",
-            "Reading a request raised an exception; it is answered 500.",
+            "a request failed and is answered 500",
+            "Parsing or accepting a request raised an exception; the request is answered 500.",
             ("error", *REQUEST_FIELDS),
             ("error",),
         ),
         RegisteredEvent(
             "request.deadline_exceeded",
             WARNING,
-            "request {request_id} had no answer at its deadline",
-            "Neither the balancer nor an endpoint has ended the request in time; it is answered 504.",
+            "request {request_id} had no answer at its deadline and is answered 504",
+            "Neither an endpoint nor the balancer answered the request in time; it is answered 504.",
             REQUEST_FIELDS,
         ),
         RegisteredEvent(
             "attempt.orphaned",
             WARNING,
-            "an attempt for request {request_id}, which is over",
-            "The balancer forwarded a request that has had its answer; nothing is sent.",
+            "dropped an attempt for request {request_id}, which is finished",
+            "The balancer started an attempt for a request that is already finished; nothing is sent.",
             ("endpoint_id", "address", *REQUEST_FIELDS),
         ),
         RegisteredEvent(
             "library.message",
             INFO,
             "{message}",
-            "A library logged, as asyncio does of an exception in a callback; the level is the library's.",
+            "A library logged, as asyncio does on an exception in a callback; the level is the library's.",
             ("logger", "message"),
             ("logger", "message"),
         ),
         RegisteredEvent(
             "log.overflow",
             WARNING,
-            "{repeated} other events",
-            f"More than {MAX_COUNTED_KEYS} kinds of repeats at a time: these are counted by event alone.",
+            "{repeated} events beyond the limit on separate counts",
+            f"More than {MAX_COUNTED_KEYS} different events in a second; the others are counted by name.",
             ("event_counts",),
         ),
     )
 }
 
-# Names that earlier versions logged and the names that replace them, for whoever searches older logs.
+# Names in the logs of earlier versions and the names that replace them, for searches in older logs.
 RENAMED_EVENTS = {
     "gateway.listens": "gateway.listening",
     "config.refused": "config.invalid",
--- a/load_balancer/gateway/log_fields.py
+++ b/load_balancer/gateway/log_fields.py
@@ -1,4 +1,4 @@
-"""Fields of log events, with names in place of the balancer's ids."""
+"""Fields of log events, with names in place of the balancer's ids and addresses of endpoints."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class LogFieldResolver:
-    """Makes the fields of log events.
+    """A resolver of the balancer's ids in log fields to names and addresses.
 
     Attributes:
         names: Names of the settings in force.
@@ -27,14 +27,14 @@
         Args:
             names: Names of the settings in force.
             settings_version: Returns the version in force.
-            authority: Returns the address of an endpoint by its id, or nothing.
+            authority: Returns the address of an endpoint by its id; empty if it is unknown.
         """
         self.names = names
         self._settings_version = settings_version
         self._authority = authority
 
     def resolve(self, fields: Iterable[tuple[str, object]]) -> dict[str, object]:
-        """Return the fields with names of class and tenant for their numbers, and an endpoint's address."""
+        """Return the fields with the names of class and tenant and with the endpoint's address."""
         resolved = dict(fields)
         version = self._settings_version()
         names = self.names
--- a/load_balancer/gateway/peers.py
+++ b/load_balancer/gateway/peers.py
@@ -23,10 +23,10 @@
     """
 
     def __init__(self, on_message: Callable[[bytes, Address], None]) -> None:
-        """Create a channel that is not open.
+        """Create a closed channel.
 
         Args:
-            on_message: Called with each message that is not too long, and its sender.
+            on_message: Called with each message within the limit on its size, and its sender.
         """
         self.transport: asyncio.DatagramTransport | None = None
         self._on_message = on_message
@@ -40,7 +40,7 @@
         self.transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=listen)
 
     def send(self, data: bytes, receiver: Address | None) -> None:
-        """Send a message, if the channel is open and there is a receiver.
+        """Send a message if the channel is open and a receiver is given.
 
         Raises:
             PeerMessageError: The message is longer than `PEER_MESSAGE_LIMIT`.
@@ -56,6 +56,6 @@
             self.transport.close()
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        """Pass on a message unless it is too long."""
+        """Deliver a message unless it is too long."""
         if len(data) <= PEER_MESSAGE_LIMIT:
             self._on_message(data, addr)
--- a/load_balancer/gateway/reload.py
+++ b/load_balancer/gateway/reload.py
@@ -1,4 +1,4 @@
-"""Reloading of the configuration: read in small steps between other work, and applied in one turn."""
+"""Reloading of the configuration, which is read in small steps and applied in one iteration of the loop."""
 
 from __future__ import annotations
 
@@ -62,10 +62,10 @@
 
 
 class ConfigReloader:
-    """Reads the configuration file on request, once at a time, and applies what has changed.
+    """A reader of the configuration file that applies the changes, one reload at a time.
 
-    The loop does other work between two steps. A request during a reading causes another one afterwards, so
-    that the last content of the file is applied in the end.
+    The loop does other work between two steps of a reload. A reload that is requested during another one is
+    done afterwards, so that the last content of the file is applied in the end.
 
     Args:
         config: The configuration in force.
@@ -85,12 +85,12 @@
         self._proxy = proxy
         self._client_server = client_server
         self._environ = environ
-        self._is_requested = False  # since the last reading began
+        self._is_requested = False  # whether a reload has been requested since the last one began
         self._task: asyncio.Task[None] | None = None
 
     @property
     def is_reading(self) -> bool:
-        """Whether a reading is under way."""
+        """Whether a reload is in progress."""
         return self._task is not None
 
     def request_reload(self) -> None:
@@ -100,7 +100,7 @@
             self._task = self._proxy.loop.create_task(self._reload_while_requested())
 
     def close(self) -> None:
-        """Cancel a reading that is under way; nothing of it is applied."""
+        """Cancel a reload in progress; nothing of it is applied."""
         if self._task is not None:
             self._task.cancel()
 
@@ -119,7 +119,7 @@
         except ConfigError as error:
             log_event("config.rejected", error=error, settings_version=self._proxy.settings_version.number)
         finally:
-            gc.enable()  # no garbage is left: the reading makes no reference cycles
+            gc.enable()  # no garbage is left, as the reading creates no reference cycles
         trim_heap()
 
     async def _read_and_apply(self) -> None:
@@ -129,7 +129,7 @@
         if changes:
             expected = changes[0].value_in(before)
             raise ConfigError(
-                f"{changes[0].path} differs: expected {expected}, which only a new process can change"
+                f"{changes[0].path} differs from the value in force, {expected}: only a restart can change it"
             )
         version = self._proxy.settings_version
         digest = config.settings_digest[:LOGGED_DIGEST_CHARACTERS]
@@ -145,7 +145,7 @@
     async def _apply_settings(self, config: Config) -> SettingsVersion:
         version = await run_cooperatively(next_version(self._proxy.settings_version, config.settings))
         lookup = await run_cooperatively(lookup_steps(config, self._client_server.lookup))
-        # Both in one turn of the loop, so that a request sees names and settings of one version.
+        # Both in one iteration of the loop, so that a request sees names and settings of one version.
         self._proxy.apply_settings(config, version)
         self._client_server.lookup = lookup
         return version
@@ -154,7 +154,7 @@
 def trim_heap() -> None:
     """Return freed memory to the system, where the C library can.
 
-    Otherwise the process would keep the memory that a reading used only briefly.
+    Otherwise the process would keep the memory that a reload uses temporarily.
     """
     trim = getattr(ctypes.CDLL(None), "malloc_trim", None)
     if trim is not None:
@@ -162,7 +162,7 @@
 
 
 async def run_cooperatively(steps: Steps[Result]) -> Result:
-    """Run steps with a turn of the loop after each; returns their result."""
+    """Run steps, with an iteration of the event loop after each, and return their result."""
     while True:
         try:
             next(steps)
--- a/load_balancer/gateway/repeat_counter.py
+++ b/load_balancer/gateway/repeat_counter.py
@@ -1,4 +1,4 @@
-"""Counting of repeated log events: one line a second for each event that keeps repeating."""
+"""Counting of repeated log events: one line per second for each event that keeps repeating."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from load_balancer.gateway.log_events import EVENTS, MAX_COUNTED_KEYS, RegisteredEvent
 
-WINDOW_S = 1.0
+WINDOW_S = 1.0  # how long repeats are counted before they are written
 
 Fields = dict[str, object]
 EventWriter = Callable[[RegisteredEvent, Fields], None]
@@ -22,7 +22,7 @@
     """The second after an event was written, in which its repeats are counted.
 
     Attributes:
-        event: The event.
+        event: The event that was written.
         ends_at: Loop time at which the window ends, in seconds.
         repeated: How often the event has been repeated.
         last_fields: The fields of the last repeat.
@@ -35,17 +35,17 @@
 
 
 class RepeatCounter:
-    """Writes an event at once, and its repeats within a second as one at the second's end, with their count.
+    """A counter that writes an event at once and its repeats within a second as one line with their count.
 
-    While repeats go on, that is one line a second. A timer runs only while something may have to be written;
-    where no loop runs, every event is written at once.
+    While an event keeps repeating, that is one line per second. A timer runs only while a count may have to
+    be written. Where no loop is running, every event is written at once.
 
     Args:
         write: Writes one event with its fields.
         get_loop: Returns the running loop; raises RuntimeError if there is none.
 
     Attributes:
-        get_loop: The argument of that name.
+        get_loop: As passed to the constructor.
         windows: The open windows, in the order in which they end.
     """
 
@@ -55,7 +55,8 @@
         self.get_loop = get_loop
         self._loop: asyncio.AbstractEventLoop | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._overflow: Counter[str] = Counter()  # by event's name, beyond MAX_COUNTED_KEYS windows
+        # Events that found MAX_COUNTED_KEYS windows open, counted by name.
+        self._overflow: Counter[str] = Counter()
         self._overflow_ends_at = 0.0
 
     def add(self, event: RegisteredEvent, fields: Fields) -> None:
@@ -65,13 +66,13 @@
         except RuntimeError:
             self._write(event, fields)
             return
-        if loop is not self._loop:  # the other loop's timers may never come
+        if loop is not self._loop:  # the timers of the other loop may never fire
             self.flush()
             self._loop = loop
         now = loop.time()
         key = (event.name, *map(fields.get, event.key))
         window = self.windows.get(key)
-        if window is not None and now >= window.ends_at:  # its timer is late
+        if window is not None and now >= window.ends_at:  # the timer has not closed it yet
             self._close_window(key, window, now)
             window = self.windows.get(key)
         if window is not None:
@@ -118,7 +119,7 @@
         self._start_timer(loop, now)
 
     def _close_window(self, key: EventKey, window: RepeatWindow, now: float) -> None:
-        """Write the window's repeats; a window that had some is followed by another."""
+        """Write the window's repeats; if there were any, open the next window."""
         del self.windows[key]
         if window.repeated:
             self._write_repeats(window)
@@ -138,5 +139,5 @@
 
 def _count_repeat(window: RepeatWindow, fields: Fields) -> None:
     window.repeated += 1
-    fields.pop("exc_info", None)  # it holds the frames, and the traceback has been written once
+    fields.pop("exc_info", None)  # it keeps stack frames alive, and the traceback has been written once
     window.last_fields = fields
--- a/load_balancer/gateway/request_parsing.py
+++ b/load_balancer/gateway/request_parsing.py
@@ -1,4 +1,4 @@
-"""Validation of a request's target and headers, and its conversion to a `ClientRequest`."""
+"""Validates the target and headers of a request and converts it to a `ClientRequest`."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 REQUEST_TIMEOUT_LIMIT_MS = 3_600_000
 REQUEST_ID_LIMIT = 128  # characters
-# Headers that may occur only once: of two values, the gateway and an endpoint might use different ones.
+# Headers that may occur only once: the gateway and an endpoint might each use another one of two values.
 SINGLETON_HEADERS = frozenset((b"request-id", b"request-class", b"tenant", b"request-timeout-ms"))
 
 
@@ -39,7 +39,7 @@
 
     Args:
         config: The configuration to make them from.
-        previous: Earlier tables; one with the same names is reused.
+        previous: Earlier tables; a table with the same names is reused.
     """
     names = config.names
     if previous is not None and names.classes is previous.config.names.classes:
@@ -142,7 +142,7 @@
 
 
 def _encode_end_to_end_headers(headers: list[Header], connection: bytes) -> bytes:
-    """Return the end-to-end headers as lines, without hop-by-hop headers and those that Connection names."""
+    """Return the headers as lines, without hop-by-hop headers and those that Connection names."""
     excluded = HOP_BY_HOP_HEADERS.union(name.strip().lower() for name in connection.split(b","))
     return b"".join(b"%b: %b\r\n" % header for header in headers if header[0].lower() not in excluded)
 
--- a/load_balancer/gateway/request_tracker.py
+++ b/load_balancer/gateway/request_tracker.py
@@ -1,4 +1,4 @@
-"""The accepted requests, each of which gets one final answer."""
+"""Tracks the accepted requests, each of which gets one final answer."""
 
 from __future__ import annotations
 
@@ -15,9 +15,10 @@
 from load_balancer.gateway.http_message import Response, text_response
 from load_balancer.gateway.upstream_attempt import UpstreamAttempt
 
-# Subtracted from the client's timeout for the transit of the request and of its answer.
+# Subtracted from the client's timeout for the transit of the request and its answer.
 TRANSIT_US = 4_000
-# After the balancer's own deadline and before the client's, for a request that nothing else has answered.
+# Time from a request's deadline to its deadline timer: after the balancer's own timer, before the client's
+# timeout.
 DEADLINE_TIMER_DELAY_US = 2_000
 
 AnswerCallback = Callable[[Response], None]
@@ -34,8 +35,9 @@
         remaining_timeout_us: Time to its deadline when it arrived.
         deadline_us: Time at which its client gives up, less the time for transit.
         send_answer: None once it has had its final answer or its client has disconnected.
-        has_disconnected: Whether its client's connection has ended, read by the loop or not.
-        deadline_timer: The timer that answers it if nothing else does.
+        has_disconnected: Returns whether its client has closed the connection, even if the loop has not read
+            that.
+        deadline_timer: The timer that answers it if nothing else has.
         attempts: By number; None for one that was never started.
         attempts_in_flight: Attempts whose outcome is not known yet.
     """
@@ -54,7 +56,7 @@
 
     @property
     def is_closed(self) -> bool:
-        """Whether it needs no answer any more: it was answered or its client has disconnected."""
+        """Whether it needs no answer, as it has been answered or its client has disconnected."""
         return self.send_answer is None
 
     def arrival_event(self) -> RequestArrived:
@@ -73,7 +75,7 @@
 
 
 class RequestTracker:
-    """Tracks the accepted requests until they are answered and their attempts have ended.
+    """A tracker of the accepted requests until they are answered and their attempts have ended.
 
     Attributes:
         pending: Requests by their id.
@@ -88,12 +90,12 @@
         dispatch: Callable[[Event], None],
         log_fields: Callable[[PendingRequest], dict[str, object]],
     ) -> None:
-        """Create an empty ledger.
+        """Create a tracker without requests.
 
         Args:
-            loop: Runs the timers of last resort.
+            loop: Runs the deadline timers.
             clock: The clock of deadlines.
-            dispatch: Takes the events that end requests.
+            dispatch: Called with the events that end requests.
             log_fields: Returns the log fields of a request.
         """
         self.pending: dict[str, PendingRequest] = {}
@@ -119,7 +121,8 @@
             settings_version: The version in force.
             names: The names of that version.
             send_answer: Called exactly once, unless `client_disconnected` is called first.
-            has_disconnected: Whether the client's connection has ended, read by the loop or not.
+            has_disconnected: Returns whether the client has closed the connection, even if the loop has not
+                read that.
         """
         self.accepted += 1
         remaining_us = max(0, client_request.timeout_us - client_request.waited_us - TRANSIT_US)
@@ -136,22 +139,22 @@
         self.pending[request.id] = request
         self.unanswered += 1
         delay_s = (remaining_us + DEADLINE_TIMER_DELAY_US) / 1e6
-        # A turn of the loop later: where an attempt's time-out comes due in the same turn, it is reported
-        # first and the balancer answers.
+        # One iteration of the loop after the timer: if an attempt times out in the same iteration, that is
+        # reported first and the balancer answers.
         request.deadline_timer = self._loop.call_later(
             delay_s, self._loop.call_soon, self.answer_deadline_exceeded, request
         )
         return request
 
     def get(self, request_id: str | None) -> PendingRequest | None:
-        """Return a request that has not been forgotten."""
+        """Return a tracked request by its id, if there is one."""
         return self.pending.get(request_id) if request_id is not None else None
 
     def is_wanted(self, request: PendingRequest) -> bool:
-        """Return whether the client still waits; checked before each attempt is written.
+        """Return whether the client still waits for its answer; checked before each attempt is written.
 
-        The client's socket itself is polled: a turn of the loop may take long, as for a list of thousands of
-        endpoints, and timers and responses may be handled in it before the client's close is read.
+        The client's socket itself is polled: an iteration of the loop may take long, as for a list of
+        thousands of endpoints, and may handle timers and responses before it reads the client's close.
         """
         if not request.is_closed and request.has_disconnected():
             self.client_disconnected(request)
@@ -185,13 +188,13 @@
             self._answer_and_remove(request, text_response(500, "internal error"))
 
     def answer_deadline_exceeded(self, request: PendingRequest) -> None:
-        """Answer a request that nothing else has answered when its client is about to give up."""
+        """Answer 504 to a request that has no answer yet shortly before its client times out."""
         if not request.is_closed:
             log_event("request.deadline_exceeded", **self._log_fields(request))
             self._answer_and_remove(request, text_response(504, "out of time"))
 
     def remove_if_finished(self, request: PendingRequest) -> None:
-        """Forget a request that needs no answer and has no attempt in flight."""
+        """Remove a request that needs no answer and has no attempt in flight."""
         if request.is_closed and request.attempts_in_flight == 0:
             self.pending.pop(request.id, None)
 
--- a/load_balancer/gateway/reverse_proxy.py
+++ b/load_balancer/gateway/reverse_proxy.py
@@ -1,7 +1,7 @@
-"""Connects one Balancer to the network: passes it events and executes its actions in order.
+"""The reverse proxy: passes events from the network to one Balancer and executes its actions in order.
 
-Nothing is decided here. An exception from a decision or an action is logged, and the request that it concerns
-is answered with 500.
+All decisions are the balancer's. An exception from a decision or an action is logged, and the request that it
+concerns is answered with 500.
 """
 
 from __future__ import annotations
@@ -55,13 +55,15 @@
 
 
 class ReverseProxy:
-    """Connects one Balancer to the network.
+    """The reverse proxy of one gateway: a Balancer and the parts that execute its actions.
 
     Attributes:
         config: The configuration as last read.
         settings: The settings in force.
+        loop: Runs the proxy.
+        clock: The clock of events and deadlines.
         balancer: Makes all decisions.
-        request_tracker: The pending requests.
+        request_tracker: Tracks the pending requests.
         upstream: Connections to endpoints.
         discovery: Client of service discovery.
         peers: Messages to and from other gateways.
@@ -103,7 +105,7 @@
     # Life cycle
 
     async def start(self) -> None:
-        """Begin to listen to peers and to discovery.
+        """Start to receive messages from peers and from discovery.
 
         Raises:
             OSError: If the address for peers cannot be used.
@@ -111,7 +113,7 @@
         if self.settings.may_message_peers and self.config.peer_listen is not None:
             await self.peers.open(self.loop, self.config.peer_listen)
         self.discovery.start(self.config.cached_endpoint_list)
-        self.config.cached_endpoint_list.clear()  # parsed by now; frees the memory of thousands of entries
+        self.config.cached_endpoint_list.clear()  # already parsed; frees the memory of thousands of entries
         self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
     def sweep(self) -> None:
@@ -140,7 +142,7 @@
         return self.balancer.settings_version
 
     def apply_settings(self, config: Config, version: SettingsVersion) -> None:
-        """Put a version in force for requests from now on; connections stay."""
+        """Apply a settings version to requests from now on; connections stay open."""
         self.dispatch(SettingsChanged(version))
         self.settings = settings = config.settings
         self._log_fields.names = config.names
@@ -219,7 +221,7 @@
         self.peers.send(action.data, receiver if self.settings.may_message_peers else None)
 
     def _log_suppressed(self) -> None:
-        """Log how many lines the balancer has left out since the last time."""
+        """Log how many lines the balancer has suppressed since its last line, if any."""
         suppressed, self.balancer.log.suppressed = self.balancer.log.suppressed, 0
         if suppressed:
             log_event("balancer.suppressed", suppressed=suppressed)
@@ -232,7 +234,7 @@
         send_answer: AnswerCallback,
         has_disconnected: Callable[[], bool] = lambda: False,
     ) -> PendingRequest | None:
-        """Accept a request, or answer it at once if too many are open: see `RequestTracker.accept`."""
+        """Accept a request as `RequestTracker.accept` does, or answer it 503 if too many are unanswered."""
         if 0 < self.settings.max_open_requests <= self.request_tracker.unanswered:
             send_answer(text_response(503, "too many requests"))
             return None
--- a/load_balancer/gateway/socket_budget.py
+++ b/load_balancer/gateway/socket_budget.py
@@ -2,8 +2,10 @@
 
 from __future__ import annotations
 
-RESERVED_SOCKETS = 64  # for the listener, discovery, peers and connections that are rejected
-UPSTREAM_SHARE = 0.5  # of what is left; the rest is for clients
+# Sockets kept free for the listener, discovery, peers and connections that are rejected.
+RESERVED_SOCKETS = 64
+# Share of the remaining sockets for connections to endpoints; the others are for clients.
+UPSTREAM_SHARE = 0.5
 
 
 def upstream_connection_limit(sockets: int) -> int:
--- a/load_balancer/gateway/socket_state.py
+++ b/load_balancer/gateway/socket_state.py
@@ -7,7 +7,7 @@
 
 
 def has_unread_input(transport: asyncio.Transport) -> bool:
-    """Return whether bytes or the other side's close wait to be read."""
+    """Return whether bytes or the other side's close can be read."""
     return _poll(transport, select.POLLIN)
 
 
--- a/load_balancer/gateway/upstream_attempt.py
+++ b/load_balancer/gateway/upstream_attempt.py
@@ -26,7 +26,7 @@
         payload: The request's bytes.
         is_wanted: Returns whether it should still be sent; checked once a new connection is open.
         connection: The connection that it is sent on; None before that is chosen.
-        timer: Ends it with a time-out.
+        timer: Ends it when its time is up.
         written: Whether its last byte has left the process, so that it may have run.
         done: Whether its outcome is decided.
     """
@@ -59,7 +59,7 @@
         self._end_without_response(Outcome.RESET if self.written else Outcome.CONNECT_FAILED)
 
     def abandon(self, outcome: Outcome) -> None:
-        """Stop waiting; the endpoint notices by the close of its connection."""
+        """Stop waiting for a response and close the connection, by which the endpoint notices."""
         if self.done:
             return
         if self.connection is not None:
@@ -73,8 +73,8 @@
             self.abandon(Outcome.NOT_SENT)
 
     def _end_without_response(self, outcome: Outcome) -> None:
-        # An abort closes the connection in the loop's next turn. The outcome is reported after that: another
-        # attempt may be written at once, and the endpoints would hold two copies of the request.
+        # An abort closes the connection in the next iteration of the loop. The outcome is reported after it:
+        # otherwise another attempt could be written first, and two copies of the request would be in flight.
         if self._finish():
             self._loop.call_soon(self._on_end, outcome, None)
 
--- a/load_balancer/gateway/upstream_connection.py
+++ b/load_balancer/gateway/upstream_connection.py
@@ -13,7 +13,7 @@
 from load_balancer.gateway.socket_state import has_unread_input
 from load_balancer.gateway.upstream_attempt import UpstreamAttempt
 
-# Bytes of all responses to one request: interim responses and the framing of chunks come on top of the body.
+# Limit on the bytes of all responses to one request: the final one, interim ones and the framing of chunks.
 RESPONSE_LIMIT = 4 * (HEAD_LIMIT + BODY_LIMIT)
 
 
@@ -25,10 +25,10 @@
     """The pool that a connection belongs to."""
 
     def release(self, connection: UpstreamConnection) -> None:
-        """Take back a connection that may carry another request."""
+        """Keep an open connection that may carry another request."""
 
     def discard(self, connection: UpstreamConnection) -> None:
-        """Forget a connection that is closed or is closing."""
+        """Remove a connection that is closed or is closing."""
 
 
 class UpstreamConnection(asyncio.Protocol):
@@ -48,8 +48,8 @@
         self.idle_since = 0.0
         self._connect_task: asyncio.Task[None] | None = None
         self._response = Response()
-        self._received_bytes = 0  # since the request
-        self._size = 0  # of the head, then of the body
+        self._received_bytes = 0  # since the request was written
+        self._size = 0  # bytes of the current head or, after the head, of the body
         self._chunks: list[bytes] = []
         self._is_complete = False
         self._keep_alive = False
@@ -57,7 +57,7 @@
 
     @property
     def is_unused(self) -> bool:
-        """Whether nothing has been written on it: it is idle or still coming up."""
+        """Whether it carries no written attempt: it is idle or still being opened."""
         return self.attempt is None or self.transport is None
 
     def is_reusable(self) -> bool:
@@ -71,7 +71,7 @@
     def connect(
         self, loop: asyncio.AbstractEventLoop, attempt: UpstreamAttempt, address: Address, timeout_s: float
     ) -> None:
-        """Begin to connect; the attempt is written once the connection is up."""
+        """Begin to connect; the attempt is written once the connection is open."""
         self._connect_task = loop.create_task(self._connect(loop, attempt, address, timeout_s))
 
     async def _connect(
@@ -80,14 +80,14 @@
         try:
             async with asyncio.timeout(timeout_s):
                 await loop.create_connection(lambda: self, *address)
-        except (OSError, TimeoutError, ValueError):  # ValueError comes of a malformed host name
+        except (OSError, TimeoutError, ValueError):  # ValueError: malformed host name
             self.owner.discard(self)
             attempt.connection_lost()
         finally:
             self._connect_task = None
 
     def abort(self) -> None:
-        """Close at once; the attempt on it is not notified."""
+        """Close at once without ending the attempt on it."""
         self.attempt = None
         self.owner.discard(self)
         if self._connect_task is not None:
@@ -105,9 +105,9 @@
     # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Write the attempt that waited for the connection, if it is still wanted."""
+        """Write the attempt that waits for the connection, if it is still wanted."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's transports do not inherit from it
-        # With no room in the buffer, pause_writing and resume_writing say exactly when bytes are held back.
+        # At a high-water mark of 0, pause_writing and resume_writing report exactly when bytes are buffered.
         self.transport.set_write_buffer_limits(high=0)
         attempt = self.attempt
         if attempt is None or attempt.done or not attempt.is_wanted():
@@ -129,23 +129,23 @@
         attempt.connection = self
         attempt.written = True  # unless pause_writing is called from within write
         transport.write(attempt.payload)
-        if transport.is_closing():  # the write itself met a broken connection
+        if transport.is_closing():  # the write failed, as the connection is broken
             attempt.written = False
 
     def pause_writing(self) -> None:
-        """Note that a part of the request is still buffered in the process."""
+        """Record that a part of the request is still buffered in the process."""
         if self.attempt is not None:
             self.attempt.written = False
 
     def resume_writing(self) -> None:
-        """Note that all of the request has left the process."""
+        """Record that all of the request has left the process."""
         if self.attempt is not None:
             self.attempt.written = True
 
     def data_received(self, data: bytes) -> None:
         """Parse a part of a response."""
         attempt = self.attempt
-        if attempt is None:  # no request was sent
+        if attempt is None:  # bytes without a request
             self.abort()
             return
         self._received_bytes += len(data)
@@ -208,9 +208,9 @@
             raise HttpResponseError("body too long")
 
     def on_message_complete(self) -> None:
-        """Note whether this was the final response, and whether the connection may be used again.
+        """Record whether this was the final response, and whether the connection may be used again.
 
-        The parser knows how the message was framed only within this callback.
+        The parser can tell whether to keep the connection only within this callback.
         """
         self._is_complete = self._parser.get_status_code() >= 200  # the final response follows an interim one
         self._keep_alive = self._parser.should_keep_alive()
--- a/load_balancer/gateway/upstream_pool.py
+++ b/load_balancer/gateway/upstream_pool.py
@@ -14,11 +14,11 @@
 
 DEFAULT_CONNECT_TIMEOUT_S = 1.0
 DEFAULT_IDLE_TIMEOUT_S = 5.0
-# Part of the endpoints' idle timeout for which connections are used. A request that crosses the endpoint's
-# close would end as a reset, after which it may have run.
+# Share of the endpoints' idle timeout for which an idle connection is used. A request that is sent while the
+# endpoint closes the connection would end as a reset, after which it may have run.
 IDLE_TIMEOUT_SHARE = 0.7
-# Pause between two requests on a connection. An endpoint that responds twice does so 1 to 4 ms late: without
-# the pause, its second response would be taken for that to the next request.
+# Pause between two requests on a connection. An endpoint that responds twice does so 1 to 4 ms late; without
+# the pause, the second response would be taken for the response to the next request.
 REUSE_DELAY_S = 0.01
 
 EndpointId = int
@@ -32,7 +32,7 @@
         now: The loop's clock, in seconds.
         connect_timeout_s: Timeout for opening a connection.
         idle_timeout_s: How long a connection may be idle.
-        reuse_delay_s: Until a connection that has become idle may be used again.
+        reuse_delay_s: Time until a connection that has become idle may be used again.
     """
 
     now: Callable[[], float]
@@ -46,11 +46,11 @@
     """The connections to one endpoint.
 
     Attributes:
-        address: Where the endpoint is.
+        address: Where the endpoint accepts connections.
         timing: Shared by all pools.
-        open_connections: Those to all endpoints, busy, idle or coming up; shared by all pools.
+        open_connections: The connections to all endpoints, busy, idle or being opened; shared by all pools.
         draining: Whether the endpoint is draining or removed, so that no new request is sent to it.
-        idle: Connections that carry no attempt, the one used last at the end.
+        idle: Connections that carry no attempt, the most recently used one last.
     """
 
     address: Address
@@ -60,7 +60,7 @@
     idle: list[UpstreamConnection] = field(default_factory=list)
 
     def acquire_idle(self) -> UpstreamConnection | None:
-        """Take the idle connection used last of those that may be used; close those that have expired."""
+        """Remove and return the most recently used reusable idle connection; close expired ones."""
         now = self.timing.now()
         for connection in reversed(self.idle[:]):
             if connection.idle_since > now - self.timing.reuse_delay_s:
@@ -79,7 +79,7 @@
         connection.connect(loop, attempt, self.address, self.timing.connect_timeout_s)
 
     def release(self, connection: UpstreamConnection) -> None:
-        """Keep a connection for the next request, unless the endpoint drains."""
+        """Keep a connection for the next request, unless the endpoint is draining."""
         if self.draining:
             connection.abort()
             return
@@ -87,7 +87,7 @@
         self.idle.append(connection)
 
     def discard(self, connection: UpstreamConnection) -> None:
-        """Forget a connection that is closed or is closing."""
+        """Remove a connection that is closed or is closing."""
         self.open_connections.discard(connection)
         if connection in self.idle:
             self.idle.remove(connection)
@@ -115,7 +115,7 @@
         max_connections: How many connections may be open at once.
         timing: Timeouts of connections.
         endpoints: The pool of each endpoint by its id.
-        connections: All that are open or coming up.
+        connections: All connections that are open or being opened.
     """
 
     def __init__(
@@ -142,7 +142,7 @@
     # Endpoints
 
     def update_endpoint(self, endpoint_id: EndpointId, address: Address, status: EndpointStatus) -> None:
-        """Add an endpoint, or note its new address or status."""
+        """Add an endpoint, or update its address and status."""
         endpoint = self.endpoints.get(endpoint_id)
         if endpoint is None:
             endpoint = EndpointPool(address, self.timing, self.connections)
@@ -161,7 +161,7 @@
             self.endpoints[endpoint_id].close_unused()
 
     def authority(self, endpoint_id: EndpointId) -> bytes:
-        """Return an endpoint's address as host:port, or nothing if it is unknown."""
+        """Return an endpoint's address as host:port; empty if it is unknown."""
         endpoint = self.endpoints.get(endpoint_id)
         if endpoint is None:
             return b""
@@ -181,11 +181,11 @@
         """Send a request to an endpoint, on an idle connection if there is one.
 
         Args:
-            endpoint_id: Where it goes.
+            endpoint_id: The endpoint to send it to.
             payload: The request's bytes.
             timeout_s: Timeout of the attempt, in seconds.
             on_end: Called exactly once, with the outcome and the response if there is one.
-            is_wanted: Returns whether to send it still, once a new connection is open.
+            is_wanted: Returns whether the request should still be sent once a new connection is open.
         """
         attempt = UpstreamAttempt(self._loop, payload, on_end, is_wanted)
         endpoint = self.endpoints.get(endpoint_id)
@@ -211,7 +211,7 @@
             endpoint.close_idle()
 
     def sweep(self) -> None:
-        """Close connections past their idle timeout and forget endpoints that are draining or removed."""
+        """Close connections past their idle timeout and remove endpoints that drain or are unlisted."""
         oldest = self.timing.now() - self.timing.idle_timeout_s
         for endpoint_id, endpoint in list(self.endpoints.items()):
             if endpoint.idle:
@@ -225,7 +225,7 @@
             connection.abort()
 
     def _close_oldest_idle(self) -> bool:
-        """Make room for a new connection; return whether that was possible."""
+        """Close the connection that has been idle longest; return False if none is idle."""
         oldest = [endpoint.idle[0] for endpoint in self.endpoints.values() if endpoint.idle]
         if not oldest:
             return False
--- a/tests/gateway/process_helpers.py
+++ b/tests/gateway/process_helpers.py
@@ -73,7 +73,7 @@
     child, stderr = await start_process(path, **environ)
     try:
         while b"listens" not in (line := await stderr.readline()):
-            assert b"discovery: no connection" in line or b"could not be read" in line
+            assert b"discovery call failed: no connection" in line or b"could not be read" in line
         yield child, port
     finally:
         if child.returncode is None:
--- a/tests/gateway/test_event_log.py
+++ b/tests/gateway/test_event_log.py
@@ -167,7 +167,7 @@
     monkeypatch.setattr(caplog.handler, "formatter", make_formatter({"ROUTER_LOG": form}))
     run_in_event_loop(say())
     event_log.flush()
-    fault = r"""ERROR failed on a request error="?RuntimeError\('a fault'\)"? request_id=7"""
+    fault = r"""ERROR a request failed and is answered 500 error="?RuntimeError\('a fault'\)"? request_id=7"""
     expected = rf"""@INFO endpoint 5: circuit breaker open request_class="buy card" cooldown_s=2.0
 load_balancer: no name
 @ERROR two\nlines more logger=asyncio
