--- a/load_balancer/gateway/attempt_sender.py
+++ b/load_balancer/gateway/attempt_sender.py
@@ -33,7 +33,7 @@
 
 
 class AttemptSender:
-    """Sends attempts and reports their outcomes.
+    """A sender of attempts that reports their outcomes to the balancer.
 
     Attributes:
         reads_load_reports: Whether to read load reports from responses.
--- a/load_balancer/gateway/client_server.py
+++ b/load_balancer/gateway/client_server.py
@@ -44,7 +44,7 @@
 
 
 class ClientServer:
-    """Accepts connections from clients.
+    """A server that accepts connections from clients.
 
     Attributes:
         proxy: Accepts the requests.
--- a/load_balancer/gateway/discovery_messages.py
+++ b/load_balancer/gateway/discovery_messages.py
@@ -165,7 +165,7 @@
 
 
 class JsonStreamSplitter:
-    """Splits a stream into its JSON objects, each on one line or indented over several.
+    """A splitter of a stream into its JSON objects, each on one line or indented over several.
 
     Attributes:
         completed: How many objects, malformed lines and empty lines have ended so far.
