--- a/tests/gateway/test_event_log.py
+++ b/tests/gateway/test_event_log.py
@@ -167,7 +167,9 @@
     monkeypatch.setattr(caplog.handler, "formatter", make_formatter({"ROUTER_LOG": log_format}))
     run_in_event_loop(log_sample_events())
     event_log.flush()
-    failure_line = r"""ERROR failed on a request error="?RuntimeError\('a fault'\)"? request_id=7"""
+    failure_line = (
+        r"""ERROR a request failed and is answered 500 error="?RuntimeError\('a fault'\)"? request_id=7"""
+    )
     expected = rf"""@INFO endpoint 5: circuit breaker open request_class="buy card" cooldown_s=2.0
 load_balancer: no name
 @ERROR two\nlines more logger=asyncio
