--- a/tests/decisions/conftest.py
+++ b/tests/decisions/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures for tests of the decisions."""
+"""Fixtures of the decision tests."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 @pytest.fixture
 def driver() -> Driver:
-    """A balancer with three endpoints."""
+    """Return a driver of a balancer with three endpoints."""
     return Driver()
 
 
 @pytest.fixture
 def driver_after_cooldown() -> Driver:
-    """A balancer whose three endpoints are due for trials."""
+    """Return a driver of a balancer with three endpoints, whose breakers' cooldowns have just ended."""
     driver = Driver(endpoints=3)
     for endpoint in driver.endpoints.values():
         trip(endpoint.breakers[0], driver.now_us)
--- a/tests/decisions/dense_balancer.py
+++ b/tests/decisions/dense_balancer.py
@@ -33,7 +33,7 @@
 
 
 class DenseRegistry(BreakerRegistry):
-    """Walks all endpoints for the failure share of a key."""
+    """A breaker registry that scans all endpoints for the failure share of a key."""
 
     endpoints: EndpointList
 
@@ -45,7 +45,7 @@
 
 
 class DenseEndpointList(EndpointList):
-    """Walks all endpoints for what the sparse one keeps in totals, and sorts them after each list."""
+    """An endpoint list that scans all endpoints instead of keeping totals, and sorts them after each list."""
 
     @property
     def any_closed(self) -> bool:
@@ -75,7 +75,7 @@
 
 
 class DenseDispatcher(Dispatcher):
-    """Walks all classes for the slowest."""
+    """A dispatcher that scans all classes for the slowest."""
 
     def pick(self, request: Request) -> EndpointState | None:
         classes = self._context.classes
@@ -84,7 +84,7 @@
 
 
 class DenseQuotas(Quotas):
-    """A bucket for every tenant."""
+    """Quotas with a token bucket for every tenant."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -103,7 +103,7 @@
 
 
 class DenseDemand(Demand):
-    """Counts for every class besides the sparse ones, which must be equal."""
+    """Demand with dense counts for every class beside the sparse ones, which must be equal to them."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -121,7 +121,7 @@
 
 
 class DenseAdmission(AdmissionControl):
-    """Puts the work of every class in order, asked for or not."""
+    """Admission control that sorts the work of every class, whether it has requests or not."""
 
     def sort_demand(self) -> None:
         demand, settings, classes = self._demand, self._context.settings, self._context.classes
@@ -159,7 +159,7 @@
 
 
 class DenseBalancer(Balancer):
-    """The same decisions over state for every endpoint, class and tenant, walked whole at each of them."""
+    """A balancer that keeps state for every endpoint, class and tenant, and scans all of it at each event."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         with pytest.MonkeyPatch.context() as patch:
@@ -178,7 +178,7 @@
         )
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        self.breakers.closed.clear()  # nothing is dropped: what has lapsed is emptied where it stands
+        self.breakers.closed.clear()  # no breaker is removed: those that have expired are emptied in place
         now_us = max(now_us, self.context.now_us)
         for endpoint in self.endpoints.by_id.values():
             for key in self.keys:
--- a/tests/decisions/driver.py
+++ b/tests/decisions/driver.py
@@ -1,4 +1,4 @@
-"""Short ways to build settings and events, and a driver that keeps what the balancer has done."""
+"""Settings for the decision tests, and a driver that feeds events to a balancer and keeps its timers."""
 
 from __future__ import annotations
 
@@ -65,7 +65,12 @@
 
 
 class Driver:
-    """One balancer and its clock."""
+    """A balancer with a clock that the test sets.
+
+    Attributes:
+        request_count: Number of requests started; the next one's id is made from it.
+        timers: All timers that the balancer has set.
+    """
 
     def __init__(self, settings: Settings = SETTINGS, endpoints: int = 3, seed: int = 1) -> None:
         self.balancer = Balancer(settings, seed)
@@ -96,18 +101,19 @@
         return self.balancer.lifecycle
 
     def handle(self, event: Event) -> list[Action]:
+        """Give the balancer an event at the current time and return its actions."""
         actions = self.balancer.handle(self.now_us, event)
         self.timers += [action for action in actions if isinstance(action, SetTimer)]
         return actions
 
     def change_settings(self, settings: Settings) -> SettingsVersion:
-        """Take over other settings; returns their generation."""
+        """Apply new settings and return their version."""
         version = make_next_version(self.balancer.settings_version, settings)
         assert not self.handle(SettingsChanged(version))
         return version
 
     def subset(self, request_class: int = 0) -> list[EndpointState]:
-        """The endpoints that a first attempt of a class may go to now."""
+        """Return the endpoints that a first attempt of a class may go to now."""
         context = self.balancer.context
         overdue_us = OVERDUE_LATENCY_FACTOR * context.classes.slowest.smoothed_us
         by_rank, key = self.balancer.endpoints.by_rank, breaker_key(request_class, 0)
@@ -115,11 +121,13 @@
         return subset.select(by_rank, key, context.now_us, overdue_us, context.settings)
 
     def list_endpoints(self, *entries: Endpoint, kind: ListKind = ListKind.COMPLETE) -> list[Action]:
+        """Deliver an endpoint list and return the balancer's actions."""
         return self.handle(EndpointListReceived(kind, entries))
 
     def start_request(
         self, request_class: int = 0, timeout_us: int = 400_000, **fields: int | bool
     ) -> tuple[str, list[Action]]:
+        """Start a request and return its id with the balancer's actions."""
         self.request_count += 1
         request_id = f"r{self.request_count}"
         event = RequestArrived(request_id, request_class, timeout_us)
@@ -134,6 +142,7 @@
         latency_us: int = 20_000,
         load: tuple[tuple[str, float], ...] = (),
     ) -> list[Action]:
+        """End an attempt and return the balancer's actions."""
         finished = outcome is Outcome.OK
         return self.handle(
             AttemptEnded(request_id, attempt, endpoint_id, outcome, latency_us, finished, load)
@@ -141,7 +150,7 @@
 
 
 def make_next_version(current: SettingsVersion, settings: Settings) -> SettingsVersion:
-    """The next generation, all its pieces at once."""
+    """Return the version of the new settings, with all steps of the comparison run at once."""
     steps = next_version(current, settings)
     while True:
         try:
@@ -158,6 +167,7 @@
 
 
 def final_answers(actions: list[Action]) -> list[Reject | Fail]:
+    """Return the balancer's own final answers among the actions."""
     return [action for action in actions if isinstance(action, Reject | Fail)]
 
 
@@ -166,7 +176,7 @@
 
 
 def trip(breaker: CircuitBreaker, now_us: int) -> None:
-    """Open a fresh breaker with the fewest failures that can."""
+    """Open a new breaker with the fewest failures that open one."""
     for _ in range(MINIMUM_OUTCOMES):
         breaker.record(now_us, True, 0, 0.0)
     assert breaker.state is BreakerState.OPEN
--- a/tests/decisions/rule_checker.py
+++ b/tests/decisions/rule_checker.py
@@ -1,4 +1,4 @@
-"""The rules that every decision must keep, asserted on whatever the balancer does."""
+"""The rules that every decision must keep, asserted on each action of a balancer."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclass
 class Attempt:
-    """An attempt as its endpoint sees it; no outcome while it is in flight."""
+    """An attempt as its endpoint sees it; `outcome` is None while it is in flight."""
 
     endpoint: int
     sent_us: int
@@ -45,11 +45,11 @@
     key: int | None = None
     attempts: list[Attempt] = field(default_factory=list)
     final_answers: list[Action] = field(default_factory=list)
-    done: bool = False  # answered, served or given up by the client
+    done: bool = False  # whether it has its answer or its client has disconnected
 
 
 class RuleChecker:
-    """Plays clients, endpoints and timers for a balancer and asserts the rules on each of its actions."""
+    """Simulates clients, endpoints and timers for a balancer and asserts the rules on each of its actions."""
 
     def __init__(self, seed: int, settings: Settings = SETTINGS) -> None:
         self.settings = settings
@@ -104,11 +104,11 @@
             t for t in request.attempts if t.outcome not in self.never_executed_outcomes(request)
         ]
         if not request.settings.may_hedge:
-            assert all(t.outcome is not None for t in request.attempts), "two attempts out at once"
+            assert all(t.outcome is not None for t in request.attempts), "two attempts in flight at once"
         if request_class.ordered and request.key is not None:
             self.check_order(request, request.key)
         if request_class.idempotency is Idempotency.NON_IDEMPOTENT:
-            assert not possibly_executed, "an unsafe request sent again"
+            assert not possibly_executed, "a non-idempotent request sent again"
         if request_class.idempotency is Idempotency.IDEMPOTENCY_KEY and possibly_executed:
             assert all(
                 GROUP_BY_ENDPOINT[t.endpoint] == GROUP_BY_ENDPOINT[action.endpoint_id]
@@ -122,10 +122,10 @@
             if earlier is request:
                 break
             if earlier.request_class.ordered and earlier.key == key:
-                assert earlier.done, "sent while an earlier request of its key is open"
-                assert all(t.outcome is not None for t in earlier.attempts), "sent beside an earlier attempt"
+                assert earlier.done, "sent before an earlier request of its key was done"
+                assert all(t.outcome is not None for t in earlier.attempts), "sent during an earlier attempt"
         if not request.attempts:
-            assert self.now_us >= self.key_delayed_until_us.get(key, 0), "sent while the key rests"
+            assert self.now_us >= self.key_delayed_until_us.get(key, 0), "sent during the delay of its key"
 
     def check_reject(self, request: ClientRequest) -> None:
         possibly_executed = [
@@ -148,6 +148,7 @@
         self.handle(RequestArrived(request_id, request_class, timeout_us, key))
 
     def end_chosen_attempt(self, choice: int, outcome: Outcome) -> None:
+        """End one of the attempts in flight, if there are any."""
         in_flight = [
             (n, i) for n, c in self.requests.items() for i, t in enumerate(c.attempts) if t.outcome is None
         ]
@@ -172,6 +173,7 @@
         self.handle(event)
 
     def disconnect_chosen_client(self, choice: int) -> None:
+        """Disconnect the client of one of the open requests, if there are any."""
         open_requests = [n for n, c in self.requests.items() if not c.done]
         if open_requests:
             request_id = open_requests[choice % len(open_requests)]
@@ -185,7 +187,7 @@
         self.handle(EndpointListReceived(ListKind.DELTA, (entry,)))
 
     def advance(self, duration_us: int) -> None:
-        """Move the clock to each due timer and each time-out on the way."""
+        """Advance the clock, stopping at each due timer and at each attempt's timeout on the way."""
         target_us = self.now_us + duration_us
         while True:
             due_times_us = [due_us for due_us, _ in self.timers] + [
--- a/tests/decisions/sparse_dense_comparison.py
+++ b/tests/decisions/sparse_dense_comparison.py
@@ -40,7 +40,8 @@
         self.settings = self.draw_settings(classes, tenants)
         self.sparse, self.dense = Balancer(self.settings, seed), DenseBalancer(self.settings, seed)
         self.now_us, self.request_count = START_US, 0
-        self.attempt_counts: dict[str, int] = {}  # attempts by request
+        self.attempt_counts: dict[str, int] = {}  # number of attempts by request id
+        # Endpoint and time of sending, by request id and attempt number.
         self.in_flight: dict[tuple[str, int], tuple[int, int]] = {}
         self.timers: list[tuple[int, int]] = []
         self.actions: list[object] = []
@@ -103,10 +104,11 @@
         self.handle(AttemptEnded(*attempt, endpoint, outcome, self.now_us - sent_us, finished, load))
 
     def step(self, gap_us: float) -> None:
+        """Advance the clock by a random time, fire due timers and give both balancers a random event."""
         rng = self.random
         self.now_us += int(rng.expovariate(1 / gap_us))
         if rng.random() < 0.002:
-            self.now_us += BREAKER_EXPIRY_US * 2 // 3  # some rings lapse, others do not
+            self.now_us += BREAKER_EXPIRY_US * 2 // 3  # some breakers expire, others do not
         for timer in sorted(self.timers):
             if timer[0] <= self.now_us:
                 self.timers.remove(timer)
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -1,4 +1,4 @@
-"""What is shed."""
+"""Tests of admission control: which requests are shed, and when shedding ends."""
 
 from __future__ import annotations
 
@@ -25,7 +25,10 @@
 
 @pytest.mark.parametrize(("request_class", "gap_us"), [(1, 1_000), (2, 100_000)])
 def test_a_gateway_with_few_answers_sheds_as_soon_as_a_busy_one(request_class: int, gap_us: int) -> None:
-    """Of 850 gateways each saw three answers in the five seconds in which the fleet jammed."""
+    """A gateway may see few answers before the endpoints are overloaded.
+
+    Each of 850 gateways saw three in the five seconds that this took, too few for an estimate from answers.
+    """
     driver = Driver(endpoints=8)
     rejected = 0
     for _ in range(40):
@@ -37,7 +40,7 @@
 
 
 def test_shedding_ends_once_all_requests_in_flight_are_answered() -> None:
-    """A gateway that shed nearly all had an answer a second, and kept shedding for tens of seconds."""
+    """A gateway that shed nearly all requests got one answer per second and shed on for tens of seconds."""
     driver = Driver(endpoints=8)
     started = [driver.start_request(request_class=2, timeout_us=1_000_000) for _ in range(40)]
     assert driver.admission.shed_share > 0.0
@@ -60,7 +63,7 @@
         driver.balancer.demand.served[number % 2] += 2
     driver.limit.limit = (
         6.2 + 3 * LIMIT_DECREASE_STEPS * LIMIT_STEP
-    )  # 6.2 after three long answers, with 9 out
+    )  # three slow answers lower it to 6.2, with 9 requests in flight
     in_flight = [driver.start_request(request_class=1) for _ in range(9)]
     for latency_us, expected in ((390_000, [True, False]), (5_000, [False, False])):
         for _ in range(3):
@@ -82,7 +85,7 @@
 
 @pytest.mark.parametrize("load_dependent", [True, False])
 def test_load_dependent_weights_shed_load_before_any_answer(load_dependent: bool) -> None:
-    """A gateway with few answers noticed a crowd when the endpoints had choked already."""
+    """A gateway with few answers noticed an overload only when the endpoints' throughput had collapsed."""
     driver = Driver(replace(SETTINGS, load_dependent_weights=load_dependent), endpoints=0)
     driver.list_endpoints(*(Endpoint(n, weight=4.0) for n in range(3)))
     for _ in range(5):
@@ -94,10 +97,10 @@
 
 
 def test_a_request_whose_timeout_is_shorter_than_any_answer_is_rejected_on_arrival() -> None:
-    """Clients that gave 33 to 63 ms, asked again and again, and endpoints worked for nobody."""
+    """Clients with timeouts of 33 to 63 ms kept retrying, and endpoints worked on abandoned requests."""
     driver = Driver(endpoints=1)
     request_id, actions = driver.start_request(timeout_us=40_000)
-    assert sends(actions)  # nothing is known yet
+    assert sends(actions)  # no answer has shown yet how long one takes
     driver.end_attempt(request_id, 0, Outcome.TIMEOUT, latency_us=40_000)
     driver.handle(ClientDisconnected(request_id))
     for _ in range(60):
@@ -112,7 +115,7 @@
             if sends(actions):
                 driver.end_attempt(request_id, 0, Outcome.TIMEOUT, latency_us=timeout_us)
                 driver.handle(ClientDisconnected(request_id))
-    assert 0 < sent[40_000] < 20  # a few all the same, as answers may have become shorter
+    assert 0 < sent[40_000] < 20  # a few are sent all the same, to notice when answers become faster
     assert sent[90_000] == 200
 
 
@@ -127,7 +130,10 @@
 def test_a_gateway_that_sheds_nearly_all_recovers_after_the_cooldowns(
     driver_after_cooldown: Driver,
 ) -> None:
-    """Unsafe requests were no trials and all safe ones were shed: with no answer that never changed."""
+    """Without any answer, the shed share did not fall and no breaker closed.
+
+    All idempotent requests were shed, and non-idempotent requests were not used as trials.
+    """
     driver_after_cooldown.limit.limit = 1.0
     for n in range(60):
         request_id, actions = driver_after_cooldown.start_request(
@@ -141,11 +147,11 @@
 
 
 def test_requests_over_quota_are_shed_first() -> None:
-    """One fund's burst, worth a tenth, was shed alike with what the others asked within their shares."""
+    """Requests of a tenant over its quota, with a tenth of the weight, were shed like those within quotas."""
     tenants = (Tenant(quota_per_s=100.0), Tenant(quota_per_s=100.0))
     driver = Driver(replace(SETTINGS, tenants=tenants, over_quota_weight_share=0.1), endpoints=1)
     rejected, counted = [0, 0], 0
-    for n in range(4_000):  # in four seconds 700 a second of one and 50 a second of the other
+    for n in range(4_000):  # four seconds with 700 requests/s of tenant 0 and 50 of tenant 1
         driver.now_us += 1_000
         if n % 20 and n % 10 < 3:
             continue
--- a/tests/decisions/test_balancer.py
+++ b/tests/decisions/test_balancer.py
@@ -1,4 +1,4 @@
-"""Events as a whole."""
+"""Tests of the balancer's handling of events, with all its parts together."""
 
 from __future__ import annotations
 
--- a/tests/decisions/test_circuit_breaker.py
+++ b/tests/decisions/test_circuit_breaker.py
@@ -1,4 +1,4 @@
-"""The breaker's cycle."""
+"""Tests of the circuit breaker: its states, its outcomes and its cooldown."""
 
 from __future__ import annotations
 
@@ -119,7 +119,7 @@
 
 
 def test_a_failed_connect_counts_as_one_failure() -> None:
-    """Where handshakes were slow, one failed connect shut out endpoints whose open connections worked."""
+    """With slow handshakes, one failed connect excluded endpoints whose open connections still worked."""
     driver = Driver(endpoints=1)
     for n in range(MINIMUM_OUTCOMES):
         assert driver.endpoints[0].breakers[0].state is BreakerState.CLOSED
--- a/tests/decisions/test_client_timeouts.py
+++ b/tests/decisions/test_client_timeouts.py
@@ -1,4 +1,4 @@
-"""First tries told from later ones."""
+"""Tests of telling a client's first tries from its retries."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 def test_a_longer_timeout_of_a_last_try_does_not_make_first_tries_late() -> None:
-    """Clients leave their last try all the time left: first tries, given less, were refused as late."""
+    """Clients give their last try all the time that is left.
+
+    First tries, which have shorter timeouts, were taken for late retries and rejected.
+    """
     no_late_weight = replace(IDEMPOTENT, late_weight_share=0.0)
     for clients_mark_retries in (True, False):
         driver = Driver(
--- a/tests/decisions/test_concurrency_limit.py
+++ b/tests/decisions/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""The limit on what is in flight."""
+"""Tests of the limit on requests in flight."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def test_a_few_prompt_answers_raise_a_low_limit() -> None:
-    """At one request out it took five answers to let a second go, at three answers a second."""
+    """With one request in flight, a second was allowed only after five answers, at three answers a second."""
     driver = Driver(endpoints=8)
     driver.limit.has_seen_slow_answer, driver.limit.limit = True, 1.0
     for _ in range(3):
@@ -29,7 +29,7 @@
 
 
 def test_the_limit_falls_where_a_third_of_the_answers_are_slow() -> None:
-    """Where it held at a third the slower endpoints had choked before the rest of the answers were long."""
+    """Where the limit held at a third, the slower endpoints collapsed before the other answers were slow."""
     driver = Driver(endpoints=8)
     driver.limit.has_seen_slow_answer, driver.limit.limit = True, 12.0
     in_flight = [driver.start_request(request_class=2, timeout_us=1_000_000) for _ in range(9)]
@@ -43,7 +43,7 @@
 
 
 def test_slow_answers_in_flight_together_lower_the_limit_by_a_fraction() -> None:
-    """What was sent before shedding began still took long, and drove it from a tenth to nearly all."""
+    """Slow answers to requests sent before shedding began raised the shed share from a tenth to almost 1."""
     driver = Driver(endpoints=8)
     driver.limit.limit = 30.0
     started = [driver.start_request(request_class=2, timeout_us=1_000_000) for _ in range(30)]
@@ -53,7 +53,7 @@
 
 
 def test_rejections_do_not_lower_the_limit() -> None:
-    """Where endpoints throttled one class, their refusals made a gateway shed every class."""
+    """Where endpoints throttled one class, their rejections made a gateway shed requests of every class."""
     driver = Driver(endpoints=3)
     for _ in range(6):
         request_id, actions = driver.start_request()
@@ -67,9 +67,10 @@
 def test_answers_of_endpoints_with_queued_work_lower_the_limit(
     outcome: Outcome, queue: float, lowers_limit: bool
 ) -> None:
-    """Full endpoints answer at once: what was out stayed low, and each request was sent on to four of them.
+    """Full endpoints reject at once, so few requests were in flight and each was sent to four endpoints.
 
-    The others' answers are prompt for a second more, and when they were not the endpoints had choked.
+    Answers of the other endpoints stay prompt for a second more; once they were slow, it was too late: the
+    endpoints had collapsed.
     """
     driver = Driver(endpoints=8)
     request_id, actions = driver.start_request()
@@ -80,7 +81,7 @@
 
 
 def test_a_reported_queue_caps_the_limit_at_what_is_in_flight() -> None:
-    """Proxies with twice the room they used went on sending more while every endpoint's queue grew."""
+    """Gateways that used half of their limit kept sending more while every endpoint's queue grew."""
     driver = Driver(endpoints=8)
     driver.limit.limit = 30.0
     started = [driver.start_request(request_class=2, timeout_us=1_000_000) for _ in range(10)]
@@ -90,7 +91,7 @@
 
 
 def test_an_overloaded_gateway_has_one_request_in_flight_and_not_two() -> None:
-    """Hundreds of gateways that had two out each kept every endpoint's queue full."""
+    """Hundreds of gateways with two requests in flight each kept every endpoint's queue full."""
     second_requests_sent = 0
     for seed in range(20):
         driver = Driver(endpoints=8, seed=seed)
@@ -103,7 +104,7 @@
 
 
 def test_prompt_answers_raise_the_limit_to_at_most_half_above_what_is_in_flight() -> None:
-    """The limit rose to twice what was out, so that a burst jammed the endpoints before it was met."""
+    """With a limit of twice what was in flight, a burst overloaded the endpoints before the limit held it."""
     driver = Driver(endpoints=8)
     in_flight = [driver.start_request(request_class=2, timeout_us=1_000_000) for _ in range(5)]
     for _ in range(30):
@@ -114,9 +115,12 @@
 
 
 def test_latency_a_little_over_unloaded_is_no_overload_under_a_tight_objective() -> None:
-    """A quarter of a small slack lay within the work's own scatter, and a quiet day shed half."""
+    """A quarter of the slack under a tight objective is within the usual variance of the work.
+
+    With that as the tolerated wait, half of the requests were shed without any overload.
+    """
     driver = Driver(endpoints=1)
-    driver.classes[0].unloaded_us = 150_000.0  # of an aim of 200 ms
+    driver.classes[0].unloaded_us = 150_000.0  # the objective is 200 ms
     for latency_us, lowers_limit in ((250_000, False), (310_000, True)):
         request_id, _ = driver.start_request()
         driver.end_attempt(request_id, 0, latency_us=latency_us)
@@ -127,7 +131,7 @@
 def test_a_longer_wait_is_tolerated_where_late_answers_have_weight(
     late_weight_share: float, lowers_limit: bool
 ) -> None:
-    """At half the worth after the aim a refusal costs more than the wait."""
+    """Where a late answer keeps half its weight, a rejection costs more than the wait."""
     request_class = replace(IDEMPOTENT, late_weight_share=late_weight_share)
     driver = Driver(replace(SETTINGS, classes=(request_class,)), endpoints=1)
     driver.classes[0].unloaded_us = 20_000.0
@@ -140,7 +144,7 @@
 def test_a_client_that_disconnects_under_overload_lowers_the_limit(
     disconnect_after_us: int, lowers_limit: bool
 ) -> None:
-    """Impatient clients hid the jam that they made: what they left taught nothing."""
+    """Clients that disconnected early hid the overload that they caused: their requests were not counted."""
     driver = Driver(endpoints=1)
     driver.classes[0].unloaded_us = 40_000.0
     request_id, _ = driver.start_request()
@@ -150,10 +154,13 @@
 
 
 def test_the_latency_variance_of_a_single_class_does_not_prolong_shedding() -> None:
-    """Of what was shed at 0.95 only the dearest class came through; four in ten took a little longer."""
+    """At a shed share of 0.95 only the class of highest priority was admitted, and shedding did not end.
+
+    Four in ten of its answers took a little longer, which is its usual variance.
+    """
     driver = Driver(Settings(classes=(replace(IDEMPOTENT, late_weight_share=0.0),)), endpoints=2)
     driver.classes[0].unloaded_us = 40_000.0
-    for _ in range(60):  # all of them long: with nothing else out the next one goes all the same
+    for _ in range(60):  # all answers are slow; with nothing in flight the next request is sent all the same
         request_id, actions = driver.start_request()
         driver.end_attempt(request_id, sends(actions)[0].endpoint_id, latency_us=150_000)
     assert driver.limit.limit == MIN_LIMIT
--- a/tests/decisions/test_endpoint_list.py
+++ b/tests/decisions/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Lists that are applied."""
+"""Tests of how endpoint lists are applied."""
 
 from __future__ import annotations
 
--- a/tests/decisions/test_load_reports.py
+++ b/tests/decisions/test_load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports that endpoints send."""
+"""Tests of the load reports that endpoints send with their answers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 def test_an_endpoint_that_reports_a_queue_slow_service_or_errors_gets_fewer_requests(
     reported: tuple[str, float], driver: Driver
 ) -> None:
-    """Forty gateways had less than one request out at each endpoint and saw nothing of the rest."""
+    """Each of forty gateways had less than one request in flight per endpoint and could not see the rest."""
     requests_by_endpoint = [0, 0, 0]
     for _ in range(600):
         request_id, actions = driver.start_request()
@@ -31,13 +31,13 @@
         requests_by_endpoint[endpoint_id] += 1
         driver.end_attempt(
             request_id, endpoint_id, load=(("eps", 0.3 if endpoint_id == 0 else 0.0),)
-        )  # of 33 a second
+        )  # errors/s, of 33 answers/s
         driver.now_us += 10_000
     assert requests_by_endpoint[0] > 0.6 * min(requests_by_endpoint[1:])
 
 
 def test_a_reported_queue_counts_less_as_it_ages(driver: Driver) -> None:
-    """An endpoint that is sent nothing has no way to report that its queue is gone."""
+    """An endpoint that gets no requests cannot report that its queue is empty again."""
     driver.balancer.load_reports.apply(driver.endpoints[0], (("queue", 50.0),), driver.now_us)
     driver.now_us += 20_000_000
     used_endpoint_ids = set()
--- a/tests/decisions/test_ordered_keys.py
+++ b/tests/decisions/test_ordered_keys.py
@@ -1,4 +1,4 @@
-"""Requests of one key in order."""
+"""Tests of the order of requests with the same key."""
 
 from __future__ import annotations
 
--- a/tests/decisions/test_outliers.py
+++ b/tests/decisions/test_outliers.py
@@ -1,4 +1,4 @@
-"""What an outcome says of its endpoint."""
+"""Tests of which outcomes count against an endpoint, and for which classes and tenants."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def test_an_endpoint_that_fails_one_class_loses_that_class_only() -> None:
-    """In one ring, a class's silence drowned in the answers to the others."""
+    """With one breaker for all classes, one class's failures were lost among the answers to the others."""
     driver = Driver(endpoints=2)
     for n in range(120):
         request_id, actions = driver.start_request(request_class=n % 3)
@@ -47,7 +47,7 @@
 
 
 def test_an_endpoint_that_rejects_one_tenant_still_serves_the_others() -> None:
-    """Half the fleet turned one tenant away; that opened the breakers and sank the weights for all."""
+    """Half of the endpoints rejected one tenant; that opened breakers and lowered weights for all tenants."""
     tenants = (Tenant(), Tenant())
     driver = Driver(replace(SETTINGS, tenants=tenants), endpoints=2)
     endpoint = driver.endpoints[0]
@@ -84,7 +84,7 @@
 
 @pytest.mark.parametrize(("timeout_us", "lowers_limit"), [(30_000, False), (50_000, True)])
 def test_a_short_timeout_lowers_the_limit_but_opens_no_breaker(timeout_us: int, lowers_limit: bool) -> None:
-    """Clients in a hurry timed out and came again, until the patient ones were late too."""
+    """Clients with short timeouts timed out and retried until clients with long timeouts were late too."""
     driver = Driver(endpoints=1)
     driver.classes[0].unloaded_us, driver.classes[0].smoothed_us = (
         20_000.0,
@@ -98,7 +98,7 @@
 
 
 def test_short_client_timeouts_open_no_breaker_and_shed_no_load() -> None:
-    """Time-outs after 30 ms where answers take 50 ms opened breakers and shed what could be served."""
+    """Timeouts of 30 ms, where answers take 50 ms, opened breakers and shed requests that could be served."""
     driver = Driver(endpoints=1)
     for _ in range(100):
         request_id, _ = driver.start_request(request_class=2, timeout_us=1_000_000)
@@ -117,7 +117,7 @@
     )
     request_ids = [driver.start_request(request_class=2, timeout_us=1_000_000)[0] for _ in range(RING_SIZE)]
     driver.now_us += 1_000_000
-    for request_id in request_ids:  # given time enough, they do
+    for request_id in request_ids:  # timeouts that leave enough time for an answer do count
         driver.end_attempt(request_id, 0, Outcome.TIMEOUT, latency_us=1_000_000)
     assert driver.limit.limit < limit
     assert endpoint.breakers[0].state is BreakerState.OPEN
--- a/tests/decisions/test_picker.py
+++ b/tests/decisions/test_picker.py
@@ -1,4 +1,4 @@
-"""Weights of the draw."""
+"""Tests of the weighted random choice of an endpoint."""
 
 from __future__ import annotations
 
--- a/tests/decisions/test_rate_limited_log.py
+++ b/tests/decisions/test_rate_limited_log.py
@@ -1,4 +1,4 @@
-"""Log events at a limited rate."""
+"""Tests of the rate limit on log events."""
 
 from __future__ import annotations
 
--- a/tests/decisions/test_rendezvous.py
+++ b/tests/decisions/test_rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing."""
+"""Tests of rendezvous hashing."""
 
 from __future__ import annotations
 
--- a/tests/decisions/test_request_lifecycle.py
+++ b/tests/decisions/test_request_lifecycle.py
@@ -1,4 +1,4 @@
-"""From admission to the final answer."""
+"""Tests of a request's course from admission to its final answer."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 def test_an_attempt_without_late_weight_times_out_at_the_objective() -> None:
-    """Attempts left until the client gave up filled every queue with work that no one wanted any more."""
+    """Attempts that ran until the client's timeout filled every queue with work that had no weight."""
     driver = Driver(replace(SETTINGS, classes=(replace(IDEMPOTENT, late_weight_share=0.0), IDEMPOTENT)))
     assert sends(driver.start_request(request_class=0)[1])[0].timeout_us < IDEMPOTENT.latency_objective_us
     assert sends(driver.start_request(request_class=1)[1])[0].timeout_us > IDEMPOTENT.latency_objective_us
@@ -69,7 +69,7 @@
 
 
 def test_a_shed_request_gets_a_retry_after() -> None:
-    """Told nothing, clients came back at once, into the same jam."""
+    """Without a retry-after, clients retried at once, while the endpoints were still overloaded."""
     driver = Driver(endpoints=1)
     driver.admission.load_shed_share = 0.95
     for limit_us, has_retry_after in ((1_000_000, True), (0, False)):
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -1,4 +1,4 @@
-"""What is sent once more, hedged or moved."""
+"""Tests of retries, hedged requests and attempts that are moved to another endpoint."""
 
 from __future__ import annotations
 
@@ -76,7 +76,7 @@
     assert hedge.endpoint_id != first_endpoint_id
     assert driver.end_attempt(request_id, hedge.endpoint_id, attempt=1) == [Cancel(request_id, 0)]
     driver.end_attempt(request_id, first_endpoint_id, Outcome.CANCELLED)
-    assert driver.endpoints[first_endpoint_id].breakers[0].failures == 1  # overdue, so the silence counts
+    assert driver.endpoints[first_endpoint_id].breakers[0].failures == 1  # as it was overdue
     assert not driver.lifecycle.requests
 
 
@@ -90,7 +90,7 @@
 
 
 def test_an_overdue_attempt_is_cancelled_for_another_where_hedging_is_not_allowed() -> None:
-    """A safe request whose answer had stalled waited for its deadline, with endpoints idle beside it."""
+    """An idempotent request with a stalled answer waited for its deadline while other endpoints were idle."""
     driver = Driver(replace(SETTINGS, may_hedge=False))
     driver.classes[0].smoothed_us = 20_000.0
     request_id, actions = driver.start_request()
@@ -113,7 +113,7 @@
 
 
 def test_no_hedging_and_no_retry_of_requests_that_may_have_run_while_load_is_shed(driver: Driver) -> None:
-    """Three hundred gateways doubled their work at the first jam, and the fleet never left it."""
+    """Three hundred gateways doubled the load at the first overload, and the fleet never recovered."""
     driver.admission.load_shed_share = SHED_SHARE_STEP
     driver.balancer.random.seed(1)
     request_id, actions = driver.start_request(request_class=0)
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -88,12 +88,13 @@
 
 
 def play(checker: RuleChecker, steps: list[tuple[str, int, int]]) -> None:
+    """Apply the steps, advance until everything has ended, and assert that no state is left."""
     for step, first_argument, second_argument in steps:
         if step == "start_request":
             checker.start_request(first_argument, second_argument)
         elif step == "end_attempt":
             checker.end_chosen_attempt(first_argument, second_argument)  # type: ignore[arg-type]
-        elif step == "unknown_outcome":  # an outcome for something finished long ago, or never sent
+        elif step == "unknown_outcome":  # of an attempt that ended long ago or was never sent
             checker.handle(AttemptEnded(f"r{first_argument}", 9, 0, second_argument, 1))  # type: ignore[arg-type]
         elif step == "disconnect":
             checker.disconnect_chosen_client(first_argument)
--- a/tests/decisions/test_settings.py
+++ b/tests/decisions/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings that are rejected."""
+"""Tests of the checks on settings."""
 
 from __future__ import annotations
 
--- a/tests/decisions/test_settings_version.py
+++ b/tests/decisions/test_settings_version.py
@@ -1,4 +1,4 @@
-"""Settings that change under way: state stays with what stays the same, by name and not by place."""
+"""Tests of settings changes: state is kept for what is unchanged, by name and not by index."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
     assert after.class_ids == (2, 3, 0)
     assert first.tenant_ids == (0, 1, 2)
     assert after.tenant_ids == (1, 2)
-    restored = make_next_version(after, INITIAL_SETTINGS)  # what was gone or changed has begun anew
+    restored = make_next_version(after, INITIAL_SETTINGS)  # what was removed or changed has a new id
     assert restored.class_ids == (0, 4, 2)
     assert restored.tenant_ids == (5, 1, 2)
     assert (first.number, after.number, restored.number) == (1, 2, 3)
@@ -64,7 +64,7 @@
 
 
 def test_a_comparison_yields_between_steps() -> None:
-    """A change of one tenant among 23,000 must not stop the loop."""
+    """Comparing the settings of 23,000 tenants in one step would block the event loop."""
     tenants = tuple(Tenant(name=f"t{n}") for n in range(5_000))
     changed_tenants = (*tenants[:4_999], Tenant(quota_per_s=1.0, name="t4999"))
     steps = next_version(
@@ -88,7 +88,7 @@
     pay_class = driver.classes[0]
     assert (pay_class.smoothed_us, pay_class.unloaded_us, pay_class.answers, driver.limit.limit) == expected
     assert driver.balancer.demand.within_quota.keys() == {2}
-    for _ in range(20):  # the same kind, now class 0 of tenant 0: endpoint 0 is still open to it
+    for _ in range(20):  # the same class and tenant, now at index 0: endpoint 0 is still open to them
         request_id, actions = driver.start_request(request_class=0, timeout_us=1_000_000, tenant=0)
         assert sends(actions)[0].endpoint_id == 1
         driver.end_attempt(request_id, 1)
@@ -112,12 +112,12 @@
 
 
 def test_a_removed_class_leaves_no_open_breaker_behind() -> None:
-    """None is ever evicted while it may be asked for: with each change some would stay for good."""
+    """An open breaker is never evicted while it may be used: each settings change would leak some of them."""
     driver = Driver(INITIAL_SETTINGS, endpoints=2)
     trip(driver.endpoints[0].breakers[1], driver.now_us)
     trip(driver.endpoints[0].breakers[2], driver.now_us)
     trip(driver.endpoints[0].breakers[0], driver.now_us)
-    for _ in range(2):  # what is out under the last generation may still look at it
+    for _ in range(2):  # requests in flight under the previous version may still use it
         assert driver.endpoints[0].breakers.keys() == {0, 1, 2}
         driver.change_settings(replace(INITIAL_SETTINGS, tenants=TENANTS[1:]))
     assert driver.endpoints[0].breakers.keys() == {0, 2}
@@ -126,7 +126,7 @@
 
 @pytest.mark.parametrize("class_is_removed", [False, True])
 def test_a_request_ends_under_the_settings_that_it_arrived_under(class_is_removed: bool) -> None:
-    """A class that must never run twice becomes one that may be repeated, or goes, with a request out."""
+    """A non-idempotent class becomes idempotent, or is removed, while one of its requests is in flight."""
     driver = Driver(replace(INITIAL_SETTINGS, max_attempts=4), endpoints=3)
     first, actions = driver.start_request(request_class=2, timeout_us=1_000_000, tenant=2)
     classes = NAMED_CLASSES[:2] if class_is_removed else (*NAMED_CLASSES[:2], replace(IDEMPOTENT, name="pay"))
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Endpoints that have just started."""
+"""Tests of endpoints in slow start."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 
 
 def test_all_gateways_together_keep_endpoints_within_the_slow_start_budget() -> None:
-    """Each gateway sent its one allowed request at the moment an endpoint was listed, forty at once."""
-    work_us = [0.0] * 20  # by windows of half a second
+    """Each of forty gateways sent its one allowed request when an endpoint was listed, all forty at once."""
+    work_us = [0.0] * 20  # work sent to the endpoint in each half second
     for gateway in range(40):
         driver = Driver(replace(SLOW_START_SETTINGS, gateway_index=gateway), endpoints=0, seed=gateway)
         driver.list_endpoints(Endpoint(1, started_us=driver.now_us))
@@ -33,7 +33,7 @@
 
 
 def test_overload_does_not_inflate_the_work_charged_in_slow_start() -> None:
-    """While the warm endpoints were jammed, requests seemed to cost more, and cold ones got none."""
+    """Requests to overloaded endpoints seemed to cost more work, so that endpoints in slow start got none."""
     sent_counts = []
     for work_hint_us in (None, 10_000):
         for overloaded in (False, True):
--- a/tests/decisions/test_slow_start_fleet.py
+++ b/tests/decisions/test_slow_start_fleet.py
@@ -1,4 +1,4 @@
-"""What all gateways together send to an endpoint in slow start, against what it can bear then."""
+"""Tests that all gateways together keep to the capacity of an endpoint in slow start."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests.decisions.driver import START_US
 
 STARTING_ENDPOINT_ID = 1
-WORK_US = 60_000  # of a request on one core, as its hint tells where there is one
+WORK_US = 60_000  # work of a request on one core, and its work hint where it has one
 SETTINGS = Settings(
     (
         RequestClass(
@@ -32,12 +32,15 @@
 
 
 def list_received_us(gateway: int, gateways: int) -> int:
-    """Lists reach the gateways one after another, over a second."""
+    """Return when a gateway receives the list: the gateways receive it one after another, over one second."""
     return START_US + 1_000_000 * gateway // gateways
 
 
 def send_times_us(gateways: int, endpoints: int, work_hint_us: int | None, bursts_us: range) -> list[int]:
-    """When each request was sent to the cold endpoint: it starts, all are notified, all are asked at once."""
+    """Return when each request was sent to the endpoint in slow start.
+
+    The endpoint starts, all gateways receive the list, and each burst reaches all gateways at the same time.
+    """
     balancers = []
     for gateway in range(gateways):
         gateway_settings = replace(SETTINGS, gateways=gateways, gateway_index=gateway)
@@ -46,7 +49,7 @@
         entries = [Endpoint(STARTING_ENDPOINT_ID, started_us=START_US)]
         entries += [
             Endpoint(STARTING_ENDPOINT_ID + n, weight=1e-9) for n in range(1, endpoints)
-        ]  # hardly ever drawn
+        ]  # hardly ever chosen
         balancer.handle(
             list_received_us(gateway, gateways), EndpointListReceived(ListKind.COMPLETE, tuple(entries))
         )
@@ -72,9 +75,9 @@
 def test_all_gateways_together_keep_to_an_endpoints_slow_start_budget(
     gateways: int, endpoints: int, bursts: range, work_hint_us: int | None
 ) -> None:
-    """Each may always send its first request, whatever the budget; these firsts must not come together."""
+    """Each gateway may send one request whatever the budget; these must not be sent all at the same time."""
     sent_us = send_times_us(gateways, endpoints, work_hint_us, bursts)
-    assert sent_us, "the ramp lets nothing through"
+    assert sent_us, "no request was sent in slow start"
     for index, first_us in enumerate(sent_us):
         capacity = (
             SETTINGS.slow_start_capacity
--- a/tests/decisions/test_sparse_state.py
+++ b/tests/decisions/test_sparse_state.py
@@ -1,4 +1,4 @@
-"""State that is created on first use decides like state for everything, and costs the same at any size."""
+"""Tests that state created on first use gives the decisions of full state, at the same cost at any size."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
     assert not driver.balancer.breakers.closed
     assert not driver.balancer.breakers.totals
     assert [len(s.breakers) for s in driver.endpoints.values()] == [0, 0, 1, 0]
-    assert driver.endpoints[2].breakers[5].state is BreakerState.OPEN  # an open one never is
+    assert driver.endpoints[2].breakers[5].state is BreakerState.OPEN  # an open breaker does not expire
     assert list(driver.balancer.quotas.left_by_tenant) == [0]
 
 
@@ -134,7 +134,7 @@
 
 
 def calls_per_event(endpoints: int, classes: int, tenants: int, shed: bool) -> tuple[float, float]:
-    """Mean calls for a request with its outcome, and calls for a restart in the list."""
+    """Return the mean calls per request with its outcome, and the calls for a list with one restart."""
     settings = Settings((replace(SETTINGS.classes[0]),) * classes, tenants=(Tenant(99.0),) * tenants)
     balancer = Balancer(settings, 1)
     entries = tuple(Endpoint(n) for n in range(endpoints))
--- a/tests/decisions/test_subset.py
+++ b/tests/decisions/test_subset.py
@@ -1,4 +1,4 @@
-"""Which endpoints are used."""
+"""Tests of the subset of endpoints that a gateway uses."""
 
 from __future__ import annotations
 
@@ -29,7 +29,10 @@
 
 
 def test_a_gateway_keeps_to_its_subset() -> None:
-    """With an endpoint each, hundreds of gateways filled every connection table: 90% of attempts got none."""
+    """Hundreds of gateways that each used every endpoint filled all of the endpoints' connection tables.
+
+    90% of the attempts got no connection.
+    """
     used_endpoint_ids: set[int] = set()
     driver = Driver(replace(SETTINGS, gateways=300, gateway_index=5), endpoints=60)
     for _ in range(300):
@@ -40,7 +43,7 @@
 
 
 def test_a_gateway_with_more_in_flight_uses_more_endpoints() -> None:
-    """One gateway with a fifth of all traffic would crush the few endpoints of a fixed subset."""
+    """A gateway with a fifth of all traffic would overload the few endpoints of a fixed subset."""
     driver = Driver(replace(SETTINGS, gateways=300), endpoints=60)
     driver.limit.limit = 100.0
     used_endpoint_ids = {sends(driver.start_request(request_class=2)[1])[0].endpoint_id for _ in range(40)}
@@ -58,7 +61,7 @@
 
 
 def test_an_endpoint_in_slow_start_beyond_the_subset_is_not_used() -> None:
-    """When many step aside from failing endpoints, all would meet on the same cold one."""
+    """When many gateways avoid failing endpoints, they would all choose the same endpoint in slow start."""
     driver = Driver(replace(SLOW_START_SETTINGS, gateways=300), endpoints=60)
     last = driver.balancer.endpoints.by_rank[-1].endpoint.id
     for endpoint in driver.balancer.endpoints.by_rank[:-1]:
--- a/tests/decisions/test_weight_controller.py
+++ b/tests/decisions/test_weight_controller.py
@@ -1,4 +1,4 @@
-"""The controller's weights."""
+"""Tests of the weight controller."""
 
 from __future__ import annotations
 
@@ -80,7 +80,7 @@
 
 
 def test_an_endpoint_keeps_the_weight_from_before_its_breaker_opened() -> None:
-    """Late outcomes and failed trials cut the weight that a recovering endpoint was to come back with."""
+    """Late outcomes and failed trials lowered the weight that an endpoint has once its breaker closes."""
     driver = Driver(endpoints=1)
     endpoint = driver.endpoints[0]
     request_ids = [driver.start_request(request_class=2)[0] for _ in range(2)]
