--- a/tests/decision_transcripts.py
+++ b/tests/decision_transcripts.py
@@ -1,11 +1,12 @@
-"""Transcripts of the balancer's decisions: recorded from seeded days, replayed and compared.
+"""Record, replay and compare transcripts of the balancer's decisions on seeded simulated days.
 
 A transcript is text in the simulator's wire vocabulary, so that it does not depend on any name of the
-package: `launch`, then batches of a `begin_batch` line with the clock, the lines of one event, and the
-actions that it led to, marked by `> `. A line `settings <json>` changes the settings. Log lines are left out.
-A difference is a changed decision: record anew only where that is meant, and say so in the commit.
+package. It has a `launch` line, then batches: a `begin_batch` line with the clock, the lines of one event,
+and the resulting actions, which start with `> `. A line `settings <json>` changes the settings. Log lines are
+left out. A difference is a changed decision: record again only if the change is intended, and say so in the
+commit.
 
-    python -m tests.decision_transcripts record   # write tests/transcripts/ anew
+    python -m tests.decision_transcripts record   # write tests/transcripts/ again
     python -m tests.decision_transcripts check    # replay and compare
     python -m tests.decision_transcripts coverage # lines of the decision modules that the replay runs
 """
@@ -21,7 +22,7 @@
 
 from load_balancer import decisions
 
-# Everything that depends on the package's Python names stands from here to the end of Subject.
+# Only the code from here to the end of WireBalancer depends on the package's Python names.
 from load_balancer.config.steps import run_to_completion
 from load_balancer.decisions import concurrency_limit
 from load_balancer.decisions.balancer import Balancer
@@ -42,21 +43,21 @@
 CHANGED_CONSTANT = (
     concurrency_limit,
     "LIMIT_DECREASE_STEPS",
-)  # of the load shedding: changing it a little must be noticed
+)  # a constant of load shedding; the replay must notice a small change of it
 
 
 class WireBalancer:
-    """The balancer under test, spoken to in wire lines only."""
+    """The balancer under test, which takes events and returns actions as wire lines."""
 
     def __init__(self, launch: str) -> None:
-        """`launch`: the wire's line with the seed and the settings."""
+        """Start a balancer with the seed and the settings of a `launch` line."""
         fields = split_line(launch)[1]
         settings = parse_settings(fields["bootInfo"])
         self.balancer = Balancer(settings, int(fields["prng"]))
         self.version = initial_version(settings)
 
     def handle_lines(self, now_us: int, lines: list[str]) -> list[str]:
-        """Take one event, of several lines where it carries a table; returns all actions, log lines too."""
+        """Handle one event, of several lines if it has a table; return the actions and log lines."""
         name, fields = split_line(lines[-1]) if not lines[-1].startswith("settings ") else ("settings", {})
         event: Any
         if name == "settings":
@@ -75,14 +76,14 @@
 
 
 class MismatchError(AssertionError):
-    """The first batch whose actions are not those of the transcript."""
+    """The balancer's actions differ from the transcript; the message names the first such batch."""
 
 
 # Replay
 
 
 def read_events(lines: list[str]) -> Iterator[tuple[int, int, list[str], list[str]]]:
-    """Each event: the number of its batch, the clock, its lines, and the actions recorded after it."""
+    """Yield for each event the number of its batch, the clock, its lines and the recorded actions."""
     batch, now_us, event = 0, 0, list[str]()
     for number, line in enumerate(lines):
         if line.startswith(ACTION_PREFIX):
@@ -106,7 +107,11 @@
 
 
 def replay(lines: list[str]) -> list[str]:
-    """Feed a transcript's events to a new balancer; raises MismatchError at once, returns the log lines."""
+    """Feed a transcript's events to a new balancer and return its log lines.
+
+    Raises:
+        MismatchError: At the first event whose actions differ from the recorded ones.
+    """
     balancer = WireBalancer(lines[0])
     log_lines: list[str] = []
     for batch, now_us, event, expected in read_events(lines[1:]):
@@ -120,12 +125,12 @@
 
 
 def load_transcript(path: Path) -> list[str]:
-    """The lines of a recorded transcript."""
+    """Return the lines of a recorded transcript."""
     return gzip.decompress(path.read_bytes()).decode().splitlines()
 
 
 def transcript_paths() -> list[Path]:
-    """The recorded transcripts, by name."""
+    """Return the paths of the recorded transcripts, sorted by name."""
     return sorted(TRANSCRIPT_DIRECTORY.glob("*.txt.gz"))
 
 
@@ -133,7 +138,7 @@
 
 
 def record() -> None:
-    """Write all transcripts anew."""
+    """Write all transcripts again."""
     TRANSCRIPT_DIRECTORY.mkdir(exist_ok=True)
     for day in DAYS:
         text = "\n".join(Simulation(day, WireBalancer).run()) + "\n"
@@ -143,14 +148,18 @@
 
 
 def check() -> None:
-    """Replay all transcripts; MismatchError names the first batch that differs."""
+    """Replay all transcripts.
+
+    Raises:
+        MismatchError: A transcript's actions differ from the recorded ones.
+    """
     for path in transcript_paths():
         replay(load_transcript(path))
         print(f"{path.name}: all actions as recorded")
 
 
 def code_lines(path: str) -> set[int]:
-    """Numbers of the lines of a module's functions that may run."""
+    """Return the numbers of the lines with code in a module's functions."""
     line_numbers: set[int] = set()
     pending = [compile(Path(path).read_text(), path, "exec")]
     while pending:
@@ -164,7 +173,7 @@
 
 
 def coverage() -> None:
-    """Print the share of the decision modules' lines that the replay runs, and those it does not."""
+    """Print the share of the decision modules' lines that the replay runs, and the lines not run."""
     run_lines = {name: set[int]() for name in DECISION_FILES}
 
     def trace(frame: FrameType, kind: str, _: object) -> Any:
--- a/tests/test_decision_transcripts.py
+++ b/tests/test_decision_transcripts.py
@@ -1,4 +1,4 @@
-"""The decisions are those of the recorded transcripts, and the transcripts cover what they should."""
+"""Tests that the decisions equal the recorded transcripts, and of what the transcripts cover."""
 
 from __future__ import annotations
 
@@ -31,24 +31,24 @@
 
 
 def fields_of(lines: list[str], name: str) -> list[dict[str, str]]:
-    """The fields of all lines of one name."""
+    """Return the fields of each line with the given name."""
     matching = [line for line in lines if line.startswith(f"{name} ")]
     return [dict(part.split("=", 1) for part in line.split()[1:]) for line in matching]
 
 
 @cache
 def replay_log(path: Path) -> tuple[str, ...]:
-    """The log lines of a replay in which every action was as recorded; a MismatchError is not kept."""
+    """Return the log lines of a replay; a MismatchError, where an action differs, is not cached."""
     return tuple(replay(load_transcript(path)))
 
 
 def all_lines() -> list[str]:
-    """The lines of all transcripts."""
+    """Return the lines of all transcripts."""
     return [line for path in PATHS for line in load_transcript(path)]
 
 
 def settings_of(path: Path) -> list[Json]:
-    """A transcript's settings, in the order in which they were in force."""
+    """Return a transcript's settings, in the order in which they were in force."""
     lines = load_transcript(path)
     first = json.loads(lines[0].partition(" bootInfo=")[2])
     changes = [line.removeprefix("settings ") for line in lines if line.startswith("settings ")]
@@ -56,7 +56,7 @@
 
 
 def changes_between(current: Json, changed: Json) -> list[str]:
-    """What one change of the settings did, in words to count."""
+    """Return the kinds of differences between two settings, one text for each kind."""
     changes: list[str] = []
     for kind in ("lanes", "tenants"):
         old = {each["name"]: each for each in current.get(kind, [])}
@@ -111,7 +111,7 @@
 
 
 def test_transcripts_hold_shed_requests() -> None:
-    """A request that is refused without any attempt, as the very first answer to its arrival."""
+    """A shed request is rejected without any attempt: the rejection is the first action on its arrival."""
     lines = all_lines()
     pairs = pairwise(lines)
     rejected = sum(a.startswith("incoming ") and b.startswith(f"{ACTION_PREFIX}bounce ") for a, b in pairs)
@@ -119,7 +119,7 @@
 
 
 def test_transcripts_hold_breakers_that_open_and_close() -> None:
-    """One closes only from half-open, and a cooldown is doubled only where one opens from half-open."""
+    """A breaker closes only from half-open, and its cooldown doubles only when it reopens from half-open."""
     log_lines = [line for path in PATHS for line in replay_log(path) if "circuit_breaker.changed" in line]
     assert sum("state=open" in line for line in log_lines) >= 20
     assert sum("state=closed" in line for line in log_lines) >= 10
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -1,4 +1,4 @@
-"""Rules on the shape of the package: decisions are pure, imports go one way, the deploy file names it all."""
+"""Tests of the package's structure: pure decisions, imports in one direction, a complete deploy file."""
 
 import ast
 import sys
@@ -15,7 +15,7 @@
 
 
 def imported_modules(path: Path) -> set[str]:
-    """Return the dotted names of what a source file imports: modules, and what it takes from them."""
+    """Return the dotted names of what a source file imports: modules, and names from modules."""
     found: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
@@ -48,7 +48,7 @@
 
 MAX_MODULE_LINES = 300
 MODULES = sorted(PACKAGE.rglob("*.py"))
-SHARED_MODULES = {"errors", "load_report_format"}  # modules that every part may import
+SHARED_MODULES = {"errors", "load_report_format"}  # modules outside all subpackages
 ALLOWED_IMPORTS = {
     "decisions": {"errors"},
     "config": SHARED_MODULES | {"decisions"},
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as printed."""
+"""Test that the README's example runs as printed."""
 
 import re
 from pathlib import Path
--- a/tests/transcript_simulation/days.py
+++ b/tests/transcript_simulation/days.py
@@ -1,4 +1,4 @@
-"""The seeded days of the decision transcripts: their traffic, settings and fleets."""
+"""The simulated days of the decision transcripts: seeds, traffic, settings and fleets."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 from tests.transcript_simulation.wire import SECOND_US, Json
 
-TRAFFIC_END_US = 40 * SECOND_US  # of the traffic of each day
-TRAFFIC_PAUSE_US = 63 * SECOND_US  # without any traffic: longer than a closed breaker's outcomes count
-RESUMED_TRAFFIC_US = 6 * SECOND_US  # of traffic after the pause
+TRAFFIC_END_US = 40 * SECOND_US  # the start of the pause in a day's traffic
+TRAFFIC_PAUSE_US = 63 * SECOND_US  # longer than outcomes count in a closed breaker
+RESUMED_TRAFFIC_US = 6 * SECOND_US  # the duration of the traffic after the pause
 
 
 def request_class(name: str, objective_ms: int, **settings: object) -> Json:
-    """A request class on the wire; the client's timeout is five times the latency objective."""
+    """Return a request class as on the wire; the client's timeout is five times the latency objective."""
     return {"name": name, "aimUs": objective_ms * 1000, "giveUpUs": objective_ms * 5000, **settings}
 
 
@@ -42,22 +42,31 @@
 
 @dataclass(frozen=True)
 class Day:
-    """What distinguishes one day: its settings, and the fleet that it runs against."""
+    """A simulated day: its seed, its traffic, its settings and its fleet.
+
+    Attributes:
+        rates_per_s: Rates of first tries, each for an equal part of the time before the pause; the last one
+            holds after it too.
+        has_tenants: Whether the settings have tenants and the requests name them.
+        has_few_faults: Whether an endpoint's mode changes once a second instead of twice.
+        outage_at_us: When all endpoints begin to refuse connections.
+        rare_class: A request class with requests in the first second only.
+    """
 
     name: str
     seed: int
     endpoints: int
     request_classes: tuple[str, ...]
     settings: Json
-    rates_per_s: tuple[float, ...]  # of first tries, each for an equal part of the day
+    rates_per_s: tuple[float, ...]
     has_tenants: bool = True
-    has_few_faults: bool = False  # endpoints seldom change their behaviour
-    outage_at_us: int | None = None  # when all endpoints begin to fail
-    rare_class: str = ""  # a class that is asked for at the beginning only
+    has_few_faults: bool = False
+    outage_at_us: int | None = None
+    rare_class: str = ""
 
 
 def class_names(names: str) -> tuple[str, ...]:
-    """Names of request classes from one text."""
+    """Return the names of request classes in a text with spaces between them."""
     return tuple(names.split())
 
 
--- a/tests/transcript_simulation/endpoint.py
+++ b/tests/transcript_simulation/endpoint.py
@@ -1,4 +1,4 @@
-"""Endpoints of the simulated fleet and the faults that they show for a while."""
+"""Endpoints of the simulated fleet and their temporary faults."""
 
 from __future__ import annotations
 
@@ -13,23 +13,31 @@
 
 @dataclass
 class Endpoint:
-    """One endpoint of the simulated fleet: a first-in, first-out queue in front of its cores."""
+    """An endpoint of the simulated fleet: a first-in, first-out queue in front of its cores.
+
+    Attributes:
+        base_weight: Its listed weight while it holds no work.
+        mode: One of MODES.
+        failing_class: The request class whose requests fail in the mode class_fault.
+        free_at_us: For each core, the time at which it is free.
+        errors: Number of errors since the last load report.
+    """
 
     id: int
     started_us: int
     base_weight: float = 1.0
     status: str = "Ready"
     mode: str = "healthy"
-    failing_class: str = ""  # whose requests fail in mode class_fault
-    free_at_us: list[int] = field(default_factory=lambda: [0, 0])  # of each core
+    failing_class: str = ""
+    free_at_us: list[int] = field(default_factory=lambda: [0, 0])
     errors: int = 0
 
     def queued_s(self, now_us: int) -> float:
-        """Seconds of work that wait at each core."""
+        """Return the seconds of work queued per core."""
         return sum(max(0, at_us - now_us) for at_us in self.free_at_us) / len(self.free_at_us) / SECOND_US
 
     def listed_weight(self, now_us: int, load_dependent: bool) -> float:
-        """Its listed weight; a live one falls with the work held."""
+        """Return its listed weight; a load-dependent one falls as its queue grows."""
         return (
             round(self.base_weight / (1.0 + 25.0 * self.queued_s(now_us)), 4)
             if load_dependent
@@ -37,7 +45,7 @@
         )
 
     def list_line(self, now_us: int, load_dependent: bool) -> str:
-        """Its entry in a list."""
+        """Return its entry in a list as a wire line."""
         return format_line(
             "host",
             host=self.id,
@@ -50,7 +58,7 @@
         )
 
     def serve(self, work_us: int, class_name: str, now_us: int, rng: random.Random) -> tuple[str, int]:
-        """The verdict on an attempt and its duration, in microseconds, unless something ends it before."""
+        """Return the verdict on an attempt and its duration in microseconds, unless it is ended earlier."""
         draw = rng.random()
         if self.mode == "refusing_connections":
             return "521", 1_500
--- a/tests/transcript_simulation/settings_changes.py
+++ b/tests/transcript_simulation/settings_changes.py
@@ -1,4 +1,4 @@
-"""Changes of the settings that the operator makes during a day."""
+"""Changes that the operator makes to the settings during a simulated day."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def changed_settings(current: Json, rng: random.Random) -> Json:
-    """A copy of the settings with one random change."""
+    """Return a copy of the settings with one random change."""
     settings = copy.deepcopy(current)
     classes, change = settings["lanes"], rng.randrange(6)
     index = rng.randrange(len(classes))
@@ -31,7 +31,7 @@
 
 
 def change_tenants(settings: Json, rng: random.Random) -> None:
-    """A tenant changes or goes, or all do, or all come back."""
+    """Change or remove one tenant, or remove all tenants, or restore them if there are none."""
     tenants = settings.get("tenants", [])
     draw = rng.random()
     if not tenants:
--- a/tests/transcript_simulation/simulation.py
+++ b/tests/transcript_simulation/simulation.py
@@ -1,7 +1,7 @@
-"""A closed loop of clients, endpoints and list service around one balancer, in simulated time.
+"""A closed-loop simulation of clients, endpoints and list service around one balancer, in simulated time.
 
-What happens next depends on the balancer's actions. Events and actions are lines of the simulator's wire
-vocabulary; all chance comes from one seeded source, so that equal decisions give equal transcripts.
+Later events depend on the balancer's actions. Events and actions are lines of the simulator's wire
+vocabulary. All random draws come from one seeded generator, so that equal decisions give equal transcripts.
 """
 
 from __future__ import annotations
@@ -36,25 +36,35 @@
 
 @dataclass
 class ClientRequest:
-    """One request as its client sees it."""
+    """A client's try of a request.
+
+    Attributes:
+        deadline_us: When the client gives up, over all its tries.
+        attempts: The endpoint of each attempt.
+        last_end_numbers: For each attempt in flight, the number of the end that was scheduled last.
+    """
 
     request_id: str
     request_class: Json
     tenant: int
-    deadline_us: int  # when the client gives up over all its tries
+    deadline_us: int
     key: int | None
     work_us: int
     done: bool = False
-    attempts: list[int] = field(default_factory=list)  # endpoint of each
-    # Of each attempt in flight, the number of the end that was scheduled last.
+    attempts: list[int] = field(default_factory=list)
     last_end_numbers: dict[int, int] = field(default_factory=dict)
 
 
 class Simulation:
-    """A closed loop of clients, endpoints and list service around one balancer; writes the transcript."""
+    """Clients, endpoints and a list service around one balancer, with the transcript as it grows."""
 
     def __init__(self, day: Day, start: Callable[[str], WireBalancer]) -> None:
-        """`start` makes the balancer from the wire's launch line."""
+        """Start a day.
+
+        Args:
+            day: The simulated day.
+            start: Makes the balancer from the wire's launch line.
+        """
         self.day = day
         self.random = random.Random(day.seed)
         self.settings = self.first_settings()
@@ -72,14 +82,14 @@
         self.load_dependent_weights = day.settings.get("weights") == "live"
 
     def first_settings(self) -> Json:
-        """The settings that the balancer is launched with."""
+        """Return the settings that the balancer is launched with."""
         lanes = [each for each in REQUEST_CLASSES if each["name"] in self.day.request_classes]
         tenants = {"tenants": TENANTS} if self.day.has_tenants else {}
         zones = ["north", "south", "west"]
         return copy.deepcopy({"lanes": lanes, "zones": zones, **self.day.settings, **tenants})
 
     def run(self) -> list[str]:
-        """The whole day, until nothing is left to happen."""
+        """Run the whole day, until nothing is scheduled any more, and return the transcript's lines."""
         self.send_list("disk" if not self.is_subscribed else "snapshot")
         self.schedule(self.next_gap_us(), self.start_request)
         self.repeat_every(SECOND_US if self.day.has_few_faults else SECOND_US // 2, self.change_mode)
@@ -97,12 +107,12 @@
         return self.lines
 
     def schedule(self, delay_us: float, action: Callable[[], None]) -> None:
-        """Do something later."""
+        """Schedule an action after a delay."""
         self.scheduled_count += 1
         heapq.heappush(self.scheduled, (self.now_us + max(0, int(delay_us)), self.scheduled_count, action))
 
     def repeat_every(self, period_us: int, action: Callable[[], None]) -> None:
-        """Do something periodically while there is traffic."""
+        """Schedule an action periodically until the day's traffic has ended."""
 
         def repeat() -> None:
             action()
@@ -112,11 +122,11 @@
         self.schedule(period_us, repeat)
 
     def traffic_has_ended(self) -> bool:
-        """Whether the day's traffic has ended."""
+        """Return whether the day's traffic has ended."""
         return self.now_us > TRAFFIC_END_US + TRAFFIC_PAUSE_US + RESUMED_TRAFFIC_US
 
     def next_gap_us(self) -> float:
-        """Time to the next request."""
+        """Return the random time until the next first try."""
         rates = self.day.rates_per_s
         rate = rates[min(self.now_us * len(rates) // TRAFFIC_END_US, len(rates) - 1)]
         return self.random.expovariate(rate) * SECOND_US
@@ -124,8 +134,8 @@
     # The balancer
 
     def handle(self, *event: str) -> None:
-        """Give the balancer one event and carry out what it decides."""
-        now_us = self.now_us - (20 if self.random.random() < 0.01 else 0)  # a clock that steps back at times
+        """Give the balancer one event, write the transcript and apply the balancer's actions."""
+        now_us = self.now_us - (20 if self.random.random() < 0.01 else 0)  # the clock sometimes steps back
         actions = [
             line
             for line in self.balancer.handle_lines(now_us, list(event))
@@ -137,7 +147,7 @@
             self.apply_action(line)
 
     def apply_action(self, line: str) -> None:
-        """One action of the balancer."""
+        """Apply one action of the balancer."""
         name, _, rest = line.partition(" ")
         fields = dict(part.split("=") for part in rest.split())
         if name == "pass_on":
@@ -156,7 +166,7 @@
     # Clients
 
     def start_request(self) -> None:
-        """A first try; the next one follows while the day lasts, with a pause towards its end."""
+        """Send a first try and schedule the next one."""
         excluded = self.day.rare_class if self.now_us > SECOND_US else ""
         request_class = self.random.choice(
             [each for each in self.settings["lanes"] if each["name"] != excluded]
@@ -170,7 +180,7 @@
         )
 
     def schedule_next_request(self) -> None:
-        """The next first try."""
+        """Schedule the next first try, after the pause if it is due, unless the traffic has ended."""
         wait_us = self.next_gap_us()
         if self.now_us <= TRAFFIC_END_US < self.now_us + wait_us:
             wait_us += TRAFFIC_PAUSE_US
@@ -186,7 +196,7 @@
         work_us: int,
         is_retry: bool,
     ) -> None:
-        """One try of a request."""
+        """Send one try of a request, unless its class is no longer in the settings."""
         if request_class not in self.settings["lanes"]:
             return
         self.request_count += 1
@@ -216,7 +226,7 @@
         )
 
     def give_up(self, request_id: str) -> None:
-        """The client gives up, and may retry."""
+        """Disconnect the client if it has no answer; it may retry."""
         request = self.requests[request_id]
         if not request.done:
             request.done = True
@@ -224,14 +234,14 @@
             self.retry_later(request, 0)
 
     def on_final_answer(self, request_id: str, retry_after_us: int) -> None:
-        """The balancer's own final answer; the client may retry."""
+        """Give the client the balancer's own final answer; it may retry."""
         request = self.requests.get(request_id)
         if request is not None and not request.done:
             request.done = True
             self.retry_later(request, retry_after_us)
 
     def retry_later(self, request: ClientRequest, retry_after_us: int) -> None:
-        """A retry by the client within its timeout."""
+        """Let the client retry, sometimes, if time is left before its deadline."""
         wait_us = max(retry_after_us, self.random.randrange(20_000, 120_000))
         if self.random.random() < 0.5 and self.now_us + wait_us + 10_000 < request.deadline_us:
             request_fields = (
@@ -246,7 +256,7 @@
     # Endpoints
 
     def send(self, request: ClientRequest, endpoint_id: int, timeout_us: int) -> None:
-        """An attempt reaches an endpoint, or does not."""
+        """Send an attempt to an endpoint; if the endpoint is gone, the connect fails."""
         attempt = len(request.attempts)
         request.attempts.append(endpoint_id)
         endpoint = self.endpoints.get(endpoint_id)
@@ -263,7 +273,7 @@
         self.schedule_end(request, attempt, verdict, after_us)
 
     def schedule_end(self, request: ClientRequest, attempt: int, verdict: str, after_us: int) -> None:
-        """An attempt ends later, unless another end is set for it before."""
+        """Schedule the end of an attempt; this replaces an end that was scheduled earlier."""
         end_number = request.last_end_numbers.get(attempt, 0) + 1
         request.last_end_numbers[attempt] = end_number
         self.schedule(after_us, partial(self.end_attempt, request, attempt, end_number, verdict, after_us))
@@ -271,7 +281,7 @@
     def end_attempt(
         self, request: ClientRequest, attempt: int, end_number: int, verdict: str, after_us: int
     ) -> None:
-        """An attempt has ended."""
+        """End an attempt, unless it has ended or a later end has been scheduled for it."""
         if request.last_end_numbers.get(attempt) != end_number:
             return
         del request.last_end_numbers[attempt]
@@ -293,7 +303,7 @@
             self.handle(line)  # reported twice
 
     def load_report(self, endpoint_id: int) -> str | None:
-        """The load report that comes along with some answers."""
+        """Return the load report of an endpoint, which only some answers carry."""
         endpoint = self.endpoints.get(endpoint_id)
         if "report" not in self.settings or endpoint is None or self.random.random() < 0.4:
             return None
@@ -307,19 +317,19 @@
         return ",".join((*values, "cpu:unknown"))
 
     def start_stream(self, request: ClientRequest, attempt: int) -> None:
-        """The answer's first byte is on its way to the client."""
+        """Report the first byte of a streamed answer to the balancer."""
         if attempt in request.last_end_numbers and not request.done:
-            request.done = True  # the client stays
+            request.done = True  # the client does not give up any more
             self.handle(format_line("streaming", requestId=request.request_id, shot=attempt))
 
     def cancel(self, request: ClientRequest, attempt: int) -> None:
-        """The balancer calls an attempt off; at times it had not been sent, or its answer crosses this."""
+        """Cancel an attempt; sometimes it had not been sent yet, or its answer arrives all the same."""
         if attempt in request.last_end_numbers and self.random.random() < 0.9:
             verdict = "409" if self.random.random() < 0.1 else "444"
             self.schedule_end(request, attempt, verdict, self.random.choice((200, 1_000)))
 
     def change_mode(self) -> None:
-        """Some endpoint begins to behave in another way; at times all of a few fail together."""
+        """Change the mode of one endpoint, or sometimes of all endpoints, for a few seconds."""
         endpoints = list(self.endpoints.values())
         mode = self.random.choices(MODES, MODE_WEIGHTS)[0]
         affects_all = self.random.random() < 0.06
@@ -327,12 +337,12 @@
             self.set_mode(endpoint, mode, self.random.randrange(SECOND_US, 5 * SECOND_US))
 
     def start_outage(self) -> None:
-        """An outage of the whole fleet."""
+        """Let all endpoints refuse connections for four seconds."""
         for endpoint in self.endpoints.values():
             self.set_mode(endpoint, "refusing_connections", 4 * SECOND_US)
 
     def set_mode(self, endpoint: Endpoint, mode: str, duration_us: int) -> None:
-        """An endpoint behaves in another way for a while."""
+        """Change the mode of an endpoint for some time."""
         endpoint.mode = mode
         endpoint.failing_class = self.random.choice(self.settings["lanes"])["name"]
         self.schedule(duration_us, partial(setattr, endpoint, "mode", "healthy"))
@@ -342,7 +352,7 @@
     def send_list(
         self, how: str, endpoint_ids: Iterable[int] | None = None, gone: Iterable[Endpoint] = ()
     ) -> None:
-        """A list event: of all endpoints or of some, and of those that have gone."""
+        """Send a list of all endpoints, or of some, together with endpoints that have gone."""
         if how == "diff" and not self.is_subscribed:
             return
         listed = (
@@ -356,7 +366,7 @@
         self.handle(inventory, *hosts, format_line("registry", how=how, table=self.table_count))
 
     def subscribe(self) -> None:
-        """The balancer asks for the list; the call may fail."""
+        """Answer the balancer's request for the list; the call may fail."""
         if self.random.random() < 0.4:
             self.schedule(30_000, self.fail_list)
             return
@@ -368,19 +378,19 @@
         self.schedule(25_000, answer)
 
     def fail_list(self) -> None:
-        """A call has failed, or the subscription has dropped."""
+        """Report a failed call or a lost subscription to the balancer."""
         self.is_subscribed = self.day.settings.get("membershipMode") != "on_request"
         self.handle(format_line("registry", how="error"))
 
     def refresh_list(self) -> None:
-        """A whole list unasked, or the loss of the subscription."""
+        """Send a complete list without a request, or let the subscription fail."""
         if self.random.random() < 0.5:
             self.fail_list()
         elif self.is_subscribed:
             self.send_list("snapshot")
 
     def change_fleet(self) -> None:
-        """An endpoint starts, drains, goes or returns."""
+        """Start, drain, remove or restart an endpoint."""
         draw = self.random.random()
         endpoint_id = self.random.choice(sorted(self.endpoints))
         endpoint = self.endpoints[endpoint_id]
@@ -394,12 +404,12 @@
             self.schedule(2 * SECOND_US, partial(self.remove, endpoint))
         elif draw < 0.75:
             self.remove(endpoint)
-        elif draw < 0.9:  # restarted in place
+        elif draw < 0.9:  # it restarts under the same id
             self.endpoints[endpoint_id] = Endpoint(endpoint_id, self.now_us, endpoint.base_weight)
             self.send_list("diff", [endpoint_id])
 
     def remove(self, endpoint: Endpoint) -> None:
-        """An endpoint goes, unless another has its number by now; the list tells of it, or just lacks it."""
+        """Remove an endpoint, unless another has its id by now, with a list entry or by leaving it out."""
         if self.endpoints.get(endpoint.id) is endpoint and len(self.endpoints) > 2:
             del self.endpoints[endpoint.id]
             endpoint.status = "Gone"
@@ -408,15 +418,15 @@
             else:
                 self.send_list("snapshot")
 
-    # The operator, and what the balancer ought to take calmly
+    # The operator, and events that must have no effect
 
     def change_settings(self) -> None:
-        """One change of the settings under way."""
+        """Make one random change to the settings."""
         self.settings = changed_settings(self.settings, self.random)
         self.handle(f"settings {json.dumps(self.settings)}")
 
     def send_unusual_events(self) -> None:
-        """Probe results, other gateways' messages, and events that name nothing known."""
+        """Send a probe result, another gateway's message and events with unknown or duplicate ids."""
         endpoint_id = self.random.choice(sorted(self.endpoints))
         verdict = self.random.choice(("200", "408", "521"))
         self.handle(
--- a/tests/transcript_simulation/wire.py
+++ b/tests/transcript_simulation/wire.py
@@ -1,23 +1,23 @@
-"""The wire vocabulary of the simulator, as far as the transcripts use it."""
+"""The part of the simulator's wire vocabulary that the transcripts use."""
 
 from __future__ import annotations
 
 from typing import Any, Protocol
 
-LOG_PREFIX = "journal_line "  # begins the wire's log lines
-ACTION_PREFIX = "> "  # before each action of a transcript
-SECOND_US = 1_000_000  # microseconds
+LOG_PREFIX = "journal_line "  # the start of a log line on the wire
+ACTION_PREFIX = "> "  # the start of an action's line in a transcript
+SECOND_US = 1_000_000
 
 Json = dict[str, Any]
 
 
 class WireBalancer(Protocol):
-    """The balancer under test."""
+    """The balancer under test, which takes events and returns actions as wire lines."""
 
     def handle_lines(self, now_us: int, lines: list[str]) -> list[str]:
-        """Take one event, of several lines where it carries a table; returns all actions, log lines too."""
+        """Handle one event, of several lines if it has a table; return the actions and log lines."""
 
 
 def format_line(name: str, **fields: object) -> str:
-    """A wire line; a field that is None is left out."""
+    """Return a wire line without the fields that are None."""
     return " ".join((name, *(f"{key}={value}" for key, value in fields.items() if value is not None)))
