--- a/tests/decisions/rule_checker.py
+++ b/tests/decisions/rule_checker.py
@@ -57,7 +57,7 @@
         self.balancer = Balancer(settings, seed)
         self.now_us = START_US
         self.requests: dict[str, ClientRequest] = {}
-        self.timers: list[tuple[int, int]] = []
+        self.timers: list[tuple[int, int]] = []  # due time and token of each
         self.status_by_endpoint = dict.fromkeys(GROUP_BY_ENDPOINT, EndpointStatus.READY)
         self.handle(
             EndpointListReceived(
--- a/tests/decisions/sparse_dense_comparison.py
+++ b/tests/decisions/sparse_dense_comparison.py
@@ -43,7 +43,7 @@
         self.attempt_counts: dict[str, int] = {}  # number of attempts by request id
         # Endpoint and time of sending, by request id and attempt number.
         self.in_flight: dict[tuple[str, int], tuple[int, int]] = {}
-        self.timers: list[tuple[int, int]] = []
+        self.timers: list[tuple[int, int]] = []  # due time and token of each
         self.actions: list[object] = []
         self.endpoint_count, self.tenants = self.random.choice((2, 6, 12)), max(1, tenants)
         self.handle(
--- a/tests/decisions/test_settings_version.py
+++ b/tests/decisions/test_settings_version.py
@@ -88,7 +88,7 @@
     pay_class = driver.classes[0]
     assert (pay_class.smoothed_us, pay_class.unloaded_us, pay_class.answers, driver.limit.limit) == expected
     assert driver.balancer.demand.within_quota.keys() == {2}
-    for _ in range(20):  # the same class and tenant, now at index 0: endpoint 0 is still open to them
+    for _ in range(20):  # the same class and tenant at new indexes: endpoint 0's breaker is open
         request_id, actions = driver.start_request(request_class=0, timeout_us=1_000_000, tenant=0)
         assert sends(actions)[0].endpoint_id == 1
         driver.end_attempt(request_id, 1)
@@ -126,7 +126,7 @@
 
 @pytest.mark.parametrize("class_is_removed", [False, True])
 def test_a_request_ends_under_the_settings_that_it_arrived_under(class_is_removed: bool) -> None:
-    """A non-idempotent class becomes idempotent, or is removed, while one of its requests is in flight."""
+    """A non-idempotent request in flight is not sent again if its class becomes idempotent or is removed."""
     driver = Driver(replace(INITIAL_SETTINGS, max_attempts=4), endpoints=3)
     first, actions = driver.start_request(request_class=2, timeout_us=1_000_000, tenant=2)
     classes = NAMED_CLASSES[:2] if class_is_removed else (*NAMED_CLASSES[:2], replace(IDEMPOTENT, name="pay"))
--- a/tests/transcript_simulation/simulation.py
+++ b/tests/transcript_simulation/simulation.py
@@ -173,7 +173,7 @@
         )
         tenant = self.random.choice((0, 0, 1, 1, 2, 7))
         key = self.random.randrange(6) if self.random.random() < 0.6 else None
-        work_us = int(self.random.lognormvariate(10.4, 0.6))  # 33 ms
+        work_us = int(self.random.lognormvariate(10.4, 0.6))  # with a median of 33 ms
         self.schedule_next_request()
         self.send_client_request(
             request_class, tenant, self.now_us + request_class["giveUpUs"], key, work_us, is_retry=False
