--- a/tests/decision_transcripts.py
+++ b/tests/decision_transcripts.py
@@ -40,10 +40,8 @@
     for path in sorted(Path(str(decisions.__file__)).parent.glob("*.py"))
     if path.stem not in ("__init__", "actions", "endpoint", "events", "settings")
 )
-CHANGED_CONSTANT = (
-    concurrency_limit,
-    "LIMIT_DECREASE_STEPS",
-)  # a constant of load shedding; the replay must notice a small change of it
+# A constant of load shedding; the replay must notice a small change of it.
+CHANGED_CONSTANT = (concurrency_limit, "LIMIT_DECREASE_STEPS")
 
 
 class WireBalancer:
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -25,9 +25,9 @@
 
 @pytest.mark.parametrize(("request_class", "gap_us"), [(1, 1_000), (2, 100_000)])
 def test_a_gateway_with_few_answers_sheds_as_soon_as_a_busy_one(request_class: int, gap_us: int) -> None:
-    """A gateway may see few answers before the endpoints are overloaded.
+    """Shedding must not wait for answers, as a gateway may get few of them.
 
-    Each of 850 gateways saw three in the five seconds that this took, too few for an estimate from answers.
+    Each of 850 gateways saw three answers in the five seconds in which the fleet became overloaded.
     """
     driver = Driver(endpoints=8)
     rejected = 0
@@ -40,7 +40,7 @@
 
 
 def test_shedding_ends_once_all_requests_in_flight_are_answered() -> None:
-    """A gateway that shed nearly all requests got one answer per second and shed on for tens of seconds."""
+    """With one answer a second, a gateway that shed nearly all requests kept shedding for tens of seconds."""
     driver = Driver(endpoints=8)
     started = [driver.start_request(request_class=2, timeout_us=1_000_000) for _ in range(40)]
     assert driver.admission.shed_share > 0.0
@@ -61,9 +61,8 @@
     for number in range(100):
         driver.balancer.demand.within_quota[number % 2] += 2
         driver.balancer.demand.served[number % 2] += 2
-    driver.limit.limit = (
-        6.2 + 3 * LIMIT_DECREASE_STEPS * LIMIT_STEP
-    )  # three slow answers lower it to 6.2, with 9 requests in flight
+    # Three slow answers lower the limit to 6.2, with 9 requests in flight.
+    driver.limit.limit = 6.2 + 3 * LIMIT_DECREASE_STEPS * LIMIT_STEP
     in_flight = [driver.start_request(request_class=1) for _ in range(9)]
     for latency_us, expected in ((390_000, [True, False]), (5_000, [False, False])):
         for _ in range(3):
--- a/tests/decisions/test_concurrency_limit.py
+++ b/tests/decisions/test_concurrency_limit.py
@@ -69,8 +69,7 @@
 ) -> None:
     """Full endpoints reject at once, so few requests were in flight and each was sent to four endpoints.
 
-    Answers of the other endpoints stay prompt for a second more; once they were slow, it was too late: the
-    endpoints had collapsed.
+    The other endpoints' answers stayed prompt for a second more; by then these endpoints had collapsed.
     """
     driver = Driver(endpoints=8)
     request_id, actions = driver.start_request()
@@ -144,7 +143,7 @@
 def test_a_client_that_disconnects_under_overload_lowers_the_limit(
     disconnect_after_us: int, lowers_limit: bool
 ) -> None:
-    """Clients that disconnected early hid the overload that they caused: their requests were not counted."""
+    """Clients that disconnected early hid the overload that they caused, as their requests did not count."""
     driver = Driver(endpoints=1)
     driver.classes[0].unloaded_us = 40_000.0
     request_id, _ = driver.start_request()
--- a/tests/decisions/test_slow_start_fleet.py
+++ b/tests/decisions/test_slow_start_fleet.py
@@ -47,9 +47,8 @@
         balancers.append(Balancer(gateway_settings, seed=gateway))
     for gateway, balancer in enumerate(balancers):
         entries = [Endpoint(STARTING_ENDPOINT_ID, started_us=START_US)]
-        entries += [
-            Endpoint(STARTING_ENDPOINT_ID + n, weight=1e-9) for n in range(1, endpoints)
-        ]  # hardly ever chosen
+        # The other endpoints are hardly ever chosen.
+        entries += [Endpoint(STARTING_ENDPOINT_ID + n, weight=1e-9) for n in range(1, endpoints)]
         balancer.handle(
             list_received_us(gateway, gateways), EndpointListReceived(ListKind.COMPLETE, tuple(entries))
         )
