--- a/load_balancer/__main__.py
+++ b/load_balancer/__main__.py
@@ -15,8 +15,8 @@
 from load_balancer.config.gateway_config import Config
 from load_balancer.gateway.client_server import ClientServer
 from load_balancer.gateway.event_log import configure_logging, flush, log_event
-from load_balancer.gateway.proxy import Proxy
 from load_balancer.gateway.reload import ConfigReloader, trim_heap
+from load_balancer.gateway.reverse_proxy import ReverseProxy
 
 EXIT_OK = 0
 EXIT_START_FAILED = 1
@@ -31,9 +31,9 @@
     """
     loop = asyncio.get_running_loop()
     stop_requested = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop_requested.set)
-    proxy = Proxy(config, loop)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
+    proxy = ReverseProxy(config, loop)
     client_server = ClientServer(config, proxy, loop)
     reloader = ConfigReloader(config, proxy, client_server)
     loop.add_signal_handler(signal.SIGHUP, reloader.request_reload)
@@ -81,9 +81,9 @@
 def main() -> int:
     """Run a command where there are arguments, and the gateway where there are none."""
     if len(sys.argv) > 1:
-        from load_balancer.cli import command  # keeps click out of a gateway's memory
+        from load_balancer.cli import cli  # keeps click out of a gateway's memory
 
-        return int(command(prog_name="python -m load_balancer") or 0)
+        return int(cli(prog_name="python -m load_balancer") or 0)
     return run_gateway()
 
 
--- a/tests/decisions/test_circuit_breaker.py
+++ b/tests/decisions/test_circuit_breaker.py
@@ -24,7 +24,7 @@
 
 def half_open_breaker() -> CircuitBreaker:
     breaker = open_breaker()
-    assert breaker.lets_through(INITIAL_COOLDOWN_US)
+    assert breaker.allows_attempt(INITIAL_COOLDOWN_US)
     return breaker
 
 
@@ -42,38 +42,38 @@
     for _ in range(RING_SIZE):
         breaker.record(0, False, 0, 0.0)
     assert breaker.failures == 0
-    assert len(breaker.ring) == RING_SIZE
+    assert len(breaker.window) == RING_SIZE
 
 
 def test_an_open_breaker_allows_no_request_until_the_cooldown_ends() -> None:
     breaker = open_breaker()
-    assert not breaker.lets_through(INITIAL_COOLDOWN_US - 1)
-    assert breaker.lets_through(INITIAL_COOLDOWN_US)
+    assert not breaker.allows_attempt(INITIAL_COOLDOWN_US - 1)
+    assert breaker.allows_attempt(INITIAL_COOLDOWN_US)
     assert breaker.state is BreakerState.HALF_OPEN
 
 
 def test_a_half_open_breaker_allows_only_its_trials() -> None:
     breaker = half_open_breaker()
     for _ in range(HALF_OPEN_TRIALS):
-        assert breaker.lets_through(INITIAL_COOLDOWN_US)
-        assert breaker.take_trial() == 1
-    assert not breaker.lets_through(INITIAL_COOLDOWN_US)
+        assert breaker.allows_attempt(INITIAL_COOLDOWN_US)
+        assert breaker.acquire_trial() == 1
+    assert not breaker.allows_attempt(INITIAL_COOLDOWN_US)
 
 
 def test_successful_trials_close_the_breaker_and_clear_its_outcomes() -> None:
     breaker = half_open_breaker()
     for _ in range(HALF_OPEN_TRIALS):
-        breaker.take_trial()
+        breaker.acquire_trial()
     results = [breaker.record(INITIAL_COOLDOWN_US, False, 1, 0.0) for _ in range(HALF_OPEN_TRIALS)]
     assert results[-1] is BreakerState.CLOSED
-    assert not breaker.ring
+    assert not breaker.window
     assert breaker.failures == 0
 
 
 def test_failed_trials_reopen_the_breaker_with_a_longer_cooldown() -> None:
     breaker = half_open_breaker()
     for _ in range(HALF_OPEN_TRIALS):
-        breaker.take_trial()
+        breaker.acquire_trial()
     breaker.record(INITIAL_COOLDOWN_US, True, 1, 0.0)
     assert breaker.record(INITIAL_COOLDOWN_US, True, 1, 0.0) is BreakerState.OPEN
     assert breaker.open_until_us == 3 * INITIAL_COOLDOWN_US
@@ -81,7 +81,7 @@
 
 def test_a_half_open_breaker_counts_only_the_outcomes_of_trials() -> None:
     breaker = half_open_breaker()
-    breaker.take_trial()
+    breaker.acquire_trial()
     for _ in range(RING_SIZE):
         assert breaker.record(INITIAL_COOLDOWN_US, True, 0, 0.0) is None
     assert breaker.state is BreakerState.HALF_OPEN
--- a/tests/decisions/test_settings_version.py
+++ b/tests/decisions/test_settings_version.py
@@ -81,12 +81,17 @@
         driver.end_attempt(request_id, sends(actions)[0].endpoint_id, latency_us=44_000)
     trip(driver.endpoints[0].breakers[breaker_key(2, 1)], driver.now_us)
     pay_class = driver.classes[2]
-    expected = (pay_class.smoothed_us, pay_class.unloaded_us, pay_class.answers, driver.limit.limit)
+    expected = (pay_class.smoothed_us, pay_class.unloaded_us, pay_class.answer_count, driver.limit.limit)
     driver.change_settings(
         replace(INITIAL_SETTINGS, classes=(NAMED_CLASSES[2], NAMED_CLASSES[0]), tenants=TENANTS[1:])
     )
     pay_class = driver.classes[0]
-    assert (pay_class.smoothed_us, pay_class.unloaded_us, pay_class.answers, driver.limit.limit) == expected
+    assert (
+        pay_class.smoothed_us,
+        pay_class.unloaded_us,
+        pay_class.answer_count,
+        driver.limit.limit,
+    ) == expected
     assert driver.balancer.demand.within_quota.keys() == {2}
     for _ in range(20):  # the same class and tenant at new indexes: endpoint 0's breaker is open
         request_id, actions = driver.start_request(request_class=0, timeout_us=1_000_000, tenant=0)
@@ -204,6 +209,6 @@
     driver.admission.sort_demand()
     driver.start_request()
     driver.admission.sort_demand()
-    assert driver.admission.order.parts
+    assert driver.admission.priority_order.part_count
     driver.change_settings(replace(INITIAL_SETTINGS, classes=NAMED_CLASSES[1:]))
-    assert not driver.admission.order.parts
+    assert not driver.admission.priority_order.part_count
