--- a/tests/decisions/test_concurrency_limit.py
+++ b/tests/decisions/test_concurrency_limit.py
@@ -29,7 +29,7 @@
 
 
 def test_the_limit_falls_where_a_third_of_the_answers_are_slow() -> None:
-    """Where the limit held at a third, the slower endpoints collapsed before the other answers were slow."""
+    """The limit held while a third of the answers were slow; slower endpoints collapsed before the rest."""
     driver = Driver(endpoints=8)
     driver.limit.has_seen_slow_answer, driver.limit.limit = True, 12.0
     in_flight = [driver.start_request(request_class=2, timeout_us=1_000_000) for _ in range(9)]
@@ -43,7 +43,7 @@
 
 
 def test_slow_answers_in_flight_together_lower_the_limit_by_a_fraction() -> None:
-    """Slow answers to requests sent before shedding began raised the shed share from a tenth to almost 1."""
+    """Slow answers to requests sent before shedding began raised the shed share from a tenth to nearly 1."""
     driver = Driver(endpoints=8)
     driver.limit.limit = 30.0
     started = [driver.start_request(request_class=2, timeout_us=1_000_000) for _ in range(30)]
--- a/tests/decisions/test_load_reports.py
+++ b/tests/decisions/test_load_reports.py
@@ -29,9 +29,8 @@
         request_id, actions = driver.start_request()
         endpoint_id = sends(actions)[0].endpoint_id
         requests_by_endpoint[endpoint_id] += 1
-        driver.end_attempt(
-            request_id, endpoint_id, load=(("eps", 0.3 if endpoint_id == 0 else 0.0),)
-        )  # errors/s, of 33 answers/s
+        # 0.3 errors/s, of 33 answers/s.
+        driver.end_attempt(request_id, endpoint_id, load=(("eps", 0.3 if endpoint_id == 0 else 0.0),))
         driver.now_us += 10_000
     assert requests_by_endpoint[0] > 0.6 * min(requests_by_endpoint[1:])
 
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -113,7 +113,7 @@
 
 
 def test_no_hedging_and_no_retry_of_requests_that_may_have_run_while_load_is_shed(driver: Driver) -> None:
-    """Three hundred gateways doubled the load at the first overload, and the fleet never recovered."""
+    """By retrying and hedging, 300 gateways doubled the load at the first overload and never recovered."""
     driver.admission.load_shed_share = SHED_SHARE_STEP
     driver.balancer.random.seed(1)
     request_id, actions = driver.start_request(request_class=0)
--- a/tests/decisions/test_settings_version.py
+++ b/tests/decisions/test_settings_version.py
@@ -122,7 +122,7 @@
     trip(driver.endpoints[0].breakers[1], driver.now_us)
     trip(driver.endpoints[0].breakers[2], driver.now_us)
     trip(driver.endpoints[0].breakers[0], driver.now_us)
-    for _ in range(2):  # requests in flight under the previous version may still use it
+    for _ in range(2):  # requests in flight under the previous version may still use them
         assert driver.endpoints[0].breakers.keys() == {0, 1, 2}
         driver.change_settings(replace(INITIAL_SETTINGS, tenants=TENANTS[1:]))
     assert driver.endpoints[0].breakers.keys() == {0, 2}
--- a/tests/decisions/test_weight_controller.py
+++ b/tests/decisions/test_weight_controller.py
@@ -86,7 +86,7 @@
     request_ids = [driver.start_request(request_class=2)[0] for _ in range(2)]
     trip(endpoint.breakers[0], driver.now_us)
     weight = endpoint.weight
-    driver.end_attempt(request_ids[0], 0, Outcome.ERROR)  # sent before the trip
+    driver.end_attempt(request_ids[0], 0, Outcome.ERROR)  # sent before the breaker opened
     assert endpoint.weight == weight
     driver.now_us = endpoint.breakers[0].open_until_us
     driver.end_attempt(request_ids[1], 0, Outcome.ERROR)
