--- a/lab/bounded.py
+++ b/lab/bounded.py
@@ -16,7 +16,9 @@
 
 def run_bounded(arguments: list[str], memory_mb: int) -> dict[str, Any]:
     """What a child prints as JSON; it is ended once it holds more than `memory_mb` megabytes."""
-    before = signal.signal(signal.SIGTERM, signal.default_int_handler)  # so that the child is ended too
+    previous_handler = signal.signal(
+        signal.SIGTERM, signal.default_int_handler
+    )  # so that the child is ended too
     with subprocess.Popen([sys.executable, "-m", *arguments], stdout=subprocess.PIPE, text=True) as child:
         try:
             process = psutil.Process(child.pid)
@@ -25,11 +27,13 @@
                     return {"failed": f"over the bound of {memory_mb} MB"}
                 time.sleep(POLL_S)
             assert child.stdout is not None
-            text = child.stdout.read()
-            return dict(json.loads(text)) if child.returncode == 0 else {"failed": f"exit {child.returncode}"}
+            output = child.stdout.read()
+            return (
+                dict(json.loads(output)) if child.returncode == 0 else {"failed": f"exit {child.returncode}"}
+            )
         except psutil.NoSuchProcess:
             return {"failed": "ended too early"}
         finally:
             if child.poll() is None:
                 child.kill()
-            signal.signal(signal.SIGTERM, before)
+            signal.signal(signal.SIGTERM, previous_handler)
--- a/lab/change_driver.py
+++ b/lab/change_driver.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 
 from lab.changes import Change, Document
-from lab.child import Hist
-from lab.clients import ask_bytes
+from lab.child import Histogram
+from lab.clients import encode_request
 from lab.readiness import fetch
 from lab.records import Problems
 from lab.rig import RealGateway
@@ -53,17 +53,17 @@
 
     def signal(self, gateway: RealGateway) -> int:
         """Let the gateway read its file; returns when, in nanoseconds."""
-        gateway.child.check()
+        gateway.child.raise_if_ended()
         signalled_ns = time.perf_counter_ns()
         os.kill(gateway.child.process.pid, signal.SIGHUP)
         return signalled_ns
 
-    async def make_change(self, hists: dict[str, Hist]) -> None:
+    async def make_change(self, hists: dict[str, Histogram]) -> None:
         """Make one change at every gateway, until it is in force at all."""
         change = await self.write()
         await asyncio.gather(*(self._watch(gateway, change, hists) for gateway in self._gateways))
 
-    async def _watch(self, gateway: RealGateway, change: Change, hists: dict[str, Hist]) -> None:
+    async def _watch(self, gateway: RealGateway, change: Change, hists: dict[str, Histogram]) -> None:
         """Ask for the tenant every millisecond from the signal on, on a connection of its own."""
         before, after = (400, 200) if change.added else (200, 400)
         reader, writer = await asyncio.open_connection(*gateway.address)
@@ -78,7 +78,7 @@
                         break
                     await asyncio.sleep(POLL_S)
         except TimeoutError:
-            gateway.child.check()
+            gateway.child.raise_if_ended()
             self._problems.broken.append(f"a change was not in force within {IN_FORCE_S:g} s")
             return
         finally:
@@ -91,7 +91,7 @@
             ("from_signal_to_asked", max(0, asked_ns - signalled_ns)),  # the first that was answered so
             ("added_from_signal" if change.added else "dropped_from_signal", done_ns - signalled_ns),
         ):
-            hists.setdefault(what, Hist()).add(ns / 1e3)
+            hists.setdefault(what, Histogram()).record(ns / 1e3)
 
     async def ask(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, change: Change
@@ -99,5 +99,7 @@
         """The answer's status to a request of that tenant, and when it was asked."""
         self._probes += 1
         asked_ns = time.perf_counter_ns()
-        status, _ = await fetch(reader, writer, ask_bytes(0, change.number, FIRST_PROBE + 2 * self._probes))
+        status, _ = await fetch(
+            reader, writer, encode_request(0, change.number, FIRST_PROBE + 2 * self._probes)
+        )
         return status, asked_ns
--- a/lab/changes.py
+++ b/lab/changes.py
@@ -84,7 +84,7 @@
             del self.tenants[change.index]
             return
         tenant = {
-            "name": fleet.tenant(change.number),
+            "name": fleet.tenant_name(change.number),
             "allowancePerS": change.allowance,
             "fraction": self.fraction,
         }
--- a/lab/client_connections.py
+++ b/lab/client_connections.py
@@ -8,11 +8,11 @@
 
 import httptools
 
-from lab.child import Hist
+from lab.child import Histogram
 from lab.messages import Address, TargetResult
 
-TIMEOUT_S = 2.0  # of every request
-CONNECT_S = 1.0
+REQUEST_TIMEOUT_S = 2.0  # of every request
+CONNECT_TIMEOUT_S = 1.0
 
 
 class Target:
@@ -21,10 +21,10 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, addresses: list[Address]) -> None:
         self.loop = loop
         self.addresses = addresses
-        self.idle: list[list[Connection]] = [[] for _ in addresses]
-        self.hist = Hist()
+        self.idle: list[list[ClientConnection]] = [[] for _ in addresses]
+        self.latency = Histogram()
         self.counts: dict[str, int] = {}
-        self.bytes = 0
+        self.byte_count = 0
         self.in_flight = 0
         self.tasks: set[asyncio.Task[None]] = set()
 
@@ -33,13 +33,13 @@
         self.in_flight += 1
         ClientRequest(self, index, payload, expected, counted).send()
 
-    def count_end(self, what: str, began_ns: int, counted: bool) -> None:
+    def record_outcome(self, outcome: str, began_ns: int, counted: bool) -> None:
         """Count how a request ended, and its latency where it was served."""
         self.in_flight -= 1
         if counted:
-            self.counts[what] = self.counts.get(what, 0) + 1
-            if what == "200":
-                self.hist.add((time.perf_counter_ns() - began_ns) / 1e3)
+            self.counts[outcome] = self.counts.get(outcome, 0) + 1
+            if outcome == "200":
+                self.latency.record((time.perf_counter_ns() - began_ns) / 1e3)
 
     def close(self) -> None:
         """Close all idle connections."""
@@ -49,7 +49,7 @@
 
     def result(self) -> TargetResult:
         """What came of all requests."""
-        return TargetResult(self.counts, self.hist.text(), self.bytes)
+        return TargetResult(self.counts, self.latency.encode(), self.byte_count)
 
 
 class ClientRequest:
@@ -62,10 +62,10 @@
         self.expected = expected
         self.counted = counted
         self.began_ns = time.perf_counter_ns()
-        self.connection: Connection | None = None
+        self.connection: ClientConnection | None = None
         self.may_resend = True
         self.done = False
-        self.timer = target.loop.call_later(TIMEOUT_S, self.give_up)
+        self.timer = target.loop.call_later(REQUEST_TIMEOUT_S, self.time_out)
 
     def send(self) -> None:
         """Send it over an idle connection, or a new one."""
@@ -80,25 +80,25 @@
     async def connect(self) -> None:
         """Open a connection and send it there."""
         target = self.target
-        connection = Connection(target, self.index)
+        connection = ClientConnection(target, self.index)
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await target.loop.create_connection(lambda: connection, *target.addresses[self.index])
         except (OSError, TimeoutError):
-            self.end("no connection")
+            self.finish("no connection")
             return
         if self.done:
             connection.abort()
         else:
             connection.write(self)
 
-    def give_up(self) -> None:
+    def time_out(self) -> None:
         """End it once its time is over."""
         if self.connection is not None:
             self.connection.abort()
-        self.end("out of time")
+        self.finish("out of time")
 
-    def lost(self, reused: bool) -> None:
+    def handle_lost_connection(self, reused: bool) -> None:
         """A close that crossed the request: it is sent once more on a new connection."""
         if self.done:
             return
@@ -108,17 +108,17 @@
             self.target.idle[self.index].clear()
             self.send()
         else:
-            self.end("lost")
+            self.finish("lost")
 
-    def end(self, what: str) -> None:
+    def finish(self, outcome: str) -> None:
         """End it once, with what came of it."""
         if not self.done:
             self.done = True
             self.timer.cancel()
-            self.target.count_end(what, self.began_ns, self.counted)
+            self.target.record_outcome(outcome, self.began_ns, self.counted)
 
 
-class Connection(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """A connection that serves one request at a time."""
 
     def __init__(self, target: Target, index: int) -> None:
@@ -129,7 +129,7 @@
         self.served = 0
         self.parser = httptools.HttpResponseParser(self)
         self.body = b""
-        self.keep = True
+        self.keep_alive = True
         self.complete = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -141,12 +141,12 @@
         assert self.transport is not None
         self.request = request
         request.connection = self
-        self.target.bytes += len(request.payload)
+        self.target.byte_count += len(request.payload)
         self.transport.write(request.payload)
 
     def data_received(self, data: bytes) -> None:
         """See asyncio.Protocol."""
-        self.target.bytes += len(data)
+        self.target.byte_count += len(data)
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
@@ -157,13 +157,13 @@
         request, self.request, self.complete = self.request, None, False
         status = self.parser.get_status_code()
         self.served += 1
-        if self.keep and self.transport is not None and not self.transport.is_closing():
+        if self.keep_alive and self.transport is not None and not self.transport.is_closing():
             self.target.idle[self.index].append(self)
         else:
             self.abort()
         if request is not None:
             wrong = status == 200 and self.body != request.expected
-            request.end("wrong body" if wrong else str(status))
+            request.finish("wrong body" if wrong else str(status))
 
     def on_message_begin(self) -> None:
         """See httptools."""
@@ -176,7 +176,7 @@
     def on_message_complete(self) -> None:
         """See httptools."""
         self.complete = True
-        self.keep = self.parser.should_keep_alive()
+        self.keep_alive = self.parser.should_keep_alive()
 
     def connection_lost(self, _exc: Exception | None) -> None:
         """See asyncio.Protocol."""
@@ -185,7 +185,7 @@
             idle.remove(self)
         request, self.request = self.request, None
         if request is not None:
-            request.lost(reused=self.served > 0)
+            request.handle_lost_connection(reused=self.served > 0)
 
     def abort(self) -> None:
         """Close at once."""
--- a/lab/clients.py
+++ b/lab/clients.py
@@ -9,8 +9,8 @@
 from typing import Any, NamedTuple, assert_never
 
 from lab import fleet, schedule
-from lab.child import Handler, Hist, serve
-from lab.client_connections import TIMEOUT_S, Target
+from lab.child import Handler, Histogram, serve
+from lab.client_connections import REQUEST_TIMEOUT_S, Target
 from lab.messages import (
     AwaitRequests,
     ClientCommand,
@@ -18,24 +18,24 @@
     PlayRequests,
 )
 
-DIRECT_SERVERS = 16  # asked straight
+MAX_DIRECT_ENDPOINTS = 16  # asked straight
 BODY = b"x" * 120
-LEAD_S = 0.1  # from the command to the first request
+START_DELAY_S = 0.1  # from the command to the first request
 DRAIN_POLL_S = 0.01
 
 
-def ask_bytes(route: int, tenant: int, number: int) -> bytes:
+def encode_request(route: int, tenant: int, request_id: int) -> bytes:
     """A request in the form that PROTOCOL gives for its class."""
-    name, effect = fleet.route(route), fleet.effect(route)
+    name, effect = fleet.route_name(route), fleet.route_effect(route)
     head = (
-        f"{'GET' if effect == 'free' else 'POST'} /{name}?user={number % 9973:04x} HTTP/1.1\r\n"
-        f"Host: service.internal\r\nRequest-Id: {number:016x}\r\nRequest-Class: {name}\r\n"
-        f"Tenant: {fleet.tenant(tenant)}\r\nRequest-Timeout-Ms: {int(TIMEOUT_S * 1e3)}\r\n"
+        f"{'GET' if effect == 'free' else 'POST'} /{name}?user={request_id % 9973:04x} HTTP/1.1\r\n"
+        f"Host: service.internal\r\nRequest-Id: {request_id:016x}\r\nRequest-Class: {name}\r\n"
+        f"Tenant: {fleet.tenant_name(tenant)}\r\nRequest-Timeout-Ms: {int(REQUEST_TIMEOUT_S * 1e3)}\r\n"
     )
     if effect == "free":
         return f"{head}\r\n".encode()
     if effect == "guarded":
-        head += f"Idempotency-Key: {number:x}\r\n"
+        head += f"Idempotency-Key: {request_id:x}\r\n"
     return f"{head}Content-Length: {len(BODY)}\r\n\r\n".encode() + BODY
 
 
@@ -55,12 +55,12 @@
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
         self.targets: dict[str, Target] = {}
-        self.late = Hist()
+        self.late = Histogram()
         self.playing: asyncio.Task[None] | None = None
 
     def plan(self, command: PlayRequests) -> Iterator[PlannedRequest]:
         """Every request goes to a gateway, and half a mean gap later the same goes to a stand-in."""
-        drawn = schedule.requests(
+        request_schedule = schedule.requests(
             command.seed,
             "clients",
             command.rate,
@@ -69,18 +69,24 @@
             command.tenants,
             len(command.gateways),
         )
-        arrivals = zip(drawn.times_s, drawn.routes, drawn.tenants, drawn.targets, strict=True)
+        arrivals = zip(
+            request_schedule.times_s,
+            request_schedule.routes,
+            request_schedule.tenants,
+            request_schedule.targets,
+            strict=True,
+        )
         pending: list[PlannedRequest] = []
         for number, (at_s, route, tenant, gateway) in enumerate(arrivals):
             while pending and pending[0].at_s <= at_s:
                 yield pending.pop(0)
             request_id = command.first + 2 * number
-            yield PlannedRequest(at_s, "gateway", gateway, *exchange(route, tenant, request_id))
+            yield PlannedRequest(at_s, "gateway", gateway, *encode_exchange(route, tenant, request_id))
             if command.direct:
                 direct_s = at_s + 0.5 / command.rate
                 index = number % len(command.direct)
                 pending.append(
-                    PlannedRequest(direct_s, "direct", index, *exchange(route, tenant, request_id + 1))
+                    PlannedRequest(direct_s, "direct", index, *encode_exchange(route, tenant, request_id + 1))
                 )
         yield from pending
 
@@ -91,28 +97,28 @@
         requests sent on a tick would hide up to a millisecond of what a gateway adds.
         """
         plan = list(self.plan(command))
-        start = time.monotonic() + LEAD_S
+        start_s = time.monotonic() + START_DELAY_S
         sent = asyncio.Event()
 
-        def keep_time() -> None:
+        def send_on_time() -> None:
             for planned in plan:
-                wait_s = start + planned.at_s - time.monotonic()
+                wait_s = start_s + planned.at_s - time.monotonic()
                 if wait_s > 0:
                     time.sleep(wait_s)
                 counted = planned.at_s >= command.warm
-                self.loop.call_soon_threadsafe(self.send, start + planned.at_s, counted, planned)
+                self.loop.call_soon_threadsafe(self.send, start_s + planned.at_s, counted, planned)
             self.loop.call_soon_threadsafe(sent.set)
 
-        threading.Thread(target=keep_time, daemon=True).start()
+        threading.Thread(target=send_on_time, daemon=True).start()
         await sent.wait()
         while any(target.in_flight for target in self.targets.values()):
             await asyncio.sleep(DRAIN_POLL_S)
         for target in self.targets.values():
             target.close()
 
-    def send(self, due: float, counted: bool, planned: PlannedRequest) -> None:
+    def send(self, due_s: float, counted: bool, planned: PlannedRequest) -> None:
         """Send a request that was due at a time of the monotonic clock."""
-        self.late.add((time.monotonic() - due) * 1e6)
+        self.late.record((time.monotonic() - due_s) * 1e6)
         target = self.targets[planned.target]
         target.send(planned.address_index, planned.payload, planned.expected, counted)
 
@@ -120,7 +126,7 @@
         """Carry out a command; returns its answer."""
         match command:
             case PlayRequests():
-                self.late = Hist()
+                self.late = Histogram()
                 self.targets = {
                     "gateway": Target(self.loop, command.gateways),
                     "direct": Target(self.loop, command.direct),
@@ -131,14 +137,17 @@
                 if self.playing is not None:
                     await self.playing
                 results = {name: target.result() for name, target in self.targets.items()}
-                return ClientResult(self.late.text(), results)
+                return ClientResult(self.late.encode(), results)
             case _:
                 assert_never(command)
 
 
-def exchange(route: int, tenant: int, number: int) -> tuple[bytes, bytes]:
+def encode_exchange(route: int, tenant: int, request_id: int) -> tuple[bytes, bytes]:
     """A request's bytes, and the body of its answer."""
-    return ask_bytes(route, tenant, number), b"%016x /%b\n" % (number, fleet.route(route).encode())
+    return encode_request(route, tenant, request_id), b"%016x /%b\n" % (
+        request_id,
+        fleet.route_name(route).encode(),
+    )
 
 
 def create_handler() -> Handler[ClientCommand]:
--- a/lab/figures.py
+++ b/lab/figures.py
@@ -11,7 +11,7 @@
 from msgspec import UNSET, UnsetType
 
 from lab import fit
-from lab.child import Hist
+from lab.child import Histogram
 from lab.messages import TargetResult
 from lab.processes import Child
 from lab.records import Point, Problems, ScenarioRecord
@@ -69,7 +69,7 @@
     for kind, all_points in points.items():
         whole = [point for point in all_points if not point.get("over_bound") and not point.get("over_time")]
         found[kind] = {
-            what: fit.line([point["size"] for point in whole], [point[what] for point in whole])
+            what: fit.fit_line([point["size"] for point in whole], [point[what] for point in whole])
             for what in UNITS
             if all_points and any(what in point for point in whole)
         }
@@ -128,7 +128,7 @@
     return Role(
         count=count,
         processes=len(children),
-        resident_mb=sum(child.resident() for child in children) / count / 1e6,
+        resident_mb=sum(child.resident_bytes() for child in children) / count / 1e6,
         cpu_s_per_s=busy_share(scenarios, (child.name for child in children)) / count,
         busiest_cpu_s_per_s=max(busy_share(scenarios, [child.name]) for child in children),
         bytes_per_s=sum(t.bytes for t in traffic) / took_s / count,
@@ -146,22 +146,22 @@
         "statements": make_role(scenarios, [rig.statements], 1, *served.values()),
         "clients": make_role(scenarios, [rig.clients], 1, *sent.values()),
     }
-    if rig.reals:
+    if rig.real_gateways:
         traffic = (listed["real"], served["gateway"], sent["gateway"])
         roles["gateway"] = real_gateways(rig, scenarios, traffic)
-    if rig.simulated:
+    if rig.simulated_processes:
         roles["hollow"] = simulated_gateways(rig, scenarios, listed["hollow"])
     return roles
 
 
 def real_gateways(rig: Rig, scenarios: Scenarios, traffic: Iterable[Traffic]) -> Role:
     """The role of the real gateways."""
-    children = [gateway.child for gateway in rig.reals]
-    role = make_role(scenarios, children, len(rig.reals), *traffic)
-    role.ready_s = max(gateway.ready_s for gateway in rig.reals)
-    role.start_cpu_s = max(gateway.start_cpu_s for gateway in rig.reals)
-    role.in_force = join(s.probes.hist for s in without_outage(scenarios)).summary()
-    role.not_in_force = sum(s.probes.standing for s in scenarios.values())
+    children = [gateway.child for gateway in rig.real_gateways]
+    role = make_role(scenarios, children, len(rig.real_gateways), *traffic)
+    role.ready_s = max(gateway.ready_s for gateway in rig.real_gateways)
+    role.start_cpu_s = max(gateway.start_cpu_s for gateway in rig.real_gateways)
+    role.in_force = join(s.probes.latency for s in without_outage(scenarios)).summary()
+    role.not_in_force = sum(s.probes.unclosed for s in scenarios.values())
     role.added = added([s.targets for s in scenarios.values()])
     return role
 
@@ -169,12 +169,12 @@
 def simulated_gateways(rig: Rig, scenarios: Scenarios, traffic: Traffic) -> Role:
     """The role of the simulated gateways."""
     gateways = rig.plan.simulated
-    role = make_role(scenarios, rig.simulated, gateways, traffic)
-    role.resident_mb -= rig.simulated_base / gateways / 1e6
-    role.in_force = join(s.in_force.hist for s in without_outage(scenarios)).summary()
-    stats = [s.after.simulated for s in scenarios.values()][-1]
-    role.list_read = join(Hist(one.list_read) for one in stats).summary()
-    role.ready_s = join(Hist(one.ready) for one in stats).at(99) / 1e3
+    role = make_role(scenarios, rig.simulated_processes, gateways, traffic)
+    role.resident_mb -= rig.simulated_base_bytes / gateways / 1e6
+    role.in_force = join(s.in_force.latency for s in without_outage(scenarios)).summary()
+    stats = [s.after.pool_stats for s in scenarios.values()][-1]
+    role.list_read = join(Histogram(one.list_read) for one in stats).summary()
+    role.ready_s = join(Histogram(one.ready) for one in stats).percentile_ms(99) / 1e3
     counts = {what: sum(one.counts[what] for one in stats) for what in stats[0].counts}
     spent_ns = sum(one.spent_ns for one in stats)
     role.requests = {**counts, "request_us": spent_ns / 1e3 / max(1, counts["asked"])}
@@ -186,18 +186,18 @@
     return [s for name, s in scenarios.items() if name != "outage"] or list(scenarios.values())
 
 
-def join(hists: Iterable[Hist]) -> Hist:
+def join(hists: Iterable[Histogram]) -> Histogram:
     """All in one."""
-    total = Hist()
+    total = Histogram()
     for hist in hists:
-        total.join(hist)
+        total.merge(hist)
     return total
 
 
 def added(results: Sequence[dict[str, TargetResult]]) -> dict[str, Any] | None:
     """Latency through gateways and straight, and what gateways add, in milliseconds."""
     played = [targets for targets in results if targets]
-    hists = {target: join(Hist(targets[target].latency) for targets in played) for target in TARGETS}
+    hists = {target: join(Histogram(targets[target].latency) for targets in played) for target in TARGETS}
     counts: dict[str, dict[str, int]] = {target: {} for target in TARGETS}
     for targets in played:
         for target in TARGETS:
@@ -209,7 +209,9 @@
     if not all(hists[target].count for target in TARGETS):
         return found
     for percent in (50, 99):
-        found[f"p{percent}_ms"] = hists["gateway"].at(percent) - hists["direct"].at(percent)
+        found[f"p{percent}_ms"] = hists["gateway"].percentile_ms(percent) - hists["direct"].percentile_ms(
+            percent
+        )
     return found
 
 
@@ -236,10 +238,10 @@
     return {
         "changes": scenario.changes,
         "machine_cpu_share": scenario.machine_cpu_share,
-        "hollow_in_force": scenario.in_force.hist.summary(),
+        "hollow_in_force": scenario.in_force.latency.summary(),
         "hollow_skipped": scenario.in_force.skipped,
-        "gateway_in_force": scenario.probes.hist.summary(),
-        "gateway_not_in_force": scenario.probes.standing,
+        "gateway_in_force": scenario.probes.latency.summary(),
+        "gateway_not_in_force": scenario.probes.unclosed,
         "probes": scenario.probes.count,
         "added": added([scenario.targets]),
     }
@@ -266,6 +268,6 @@
         "schedule": schedule,
         "over_bound": rig.problems.over_bound,
         "broken": rig.problems.broken,
-        "memory_most_mb": rig.children.most_bytes / 1e6,
+        "memory_most_mb": rig.children.peak_bytes / 1e6,
         "figures" if schedule["kept"] else "void": found,
     }
--- a/lab/fit.py
+++ b/lab/fit.py
@@ -7,16 +7,16 @@
 
 import numpy as np
 
-LEAST_SIZES = 3  # for a line with a residual
+MIN_SIZES = 3  # for a line with a residual
 
 
-def line(sizes: Sequence[float], figures: Sequence[float]) -> dict[str, Any] | None:
+def fit_line(sizes: Sequence[float], figures: Sequence[float]) -> dict[str, Any] | None:
     """Least squares: slope in the figures' unit for one more, at zero, and how far the figures lie off.
 
     `residual` is the root of the mean square in the figures' unit, `residual_share` its part of the rise that
     the line has over the sizes; above 1 there is no slope to speak of. None for too few sizes.
     """
-    if len(set(sizes)) < LEAST_SIZES:
+    if len(set(sizes)) < MIN_SIZES:
         return None
     x, y = np.asarray(sizes, dtype=float), np.asarray(figures, dtype=float)
     centred = x - x.mean()
--- a/lab/fleet.py
+++ b/lab/fleet.py
@@ -7,24 +7,24 @@
 
 REGIONS = {"north": ("north-a", "north-b", "north-c", "north-d"), "south": ("south-a", "south-b", "south-c")}
 ZONES = tuple(zone for zones in REGIONS.values() for zone in zones)
-RACK = 40  # servers that fail together
-CELL = 3  # servers that share what they know of keys
-PER_SUBNET = 250
+SERVERS_PER_RACK = 40  # servers that fail together
+SERVERS_PER_CELL = 3  # servers that share what they know of keys
+SUBNET_SIZE = 250
 EFFECTS = ("free", "guarded", "single_shot", "free")
 KEEPALIVE_US = 60_000_000  # long: an idle connection that closes in a run was closed for a reason
 
 EndpointEntry = dict[str, Any]
 
 
-def host(number: int) -> str:
+def server_host(number: int) -> str:
     """The address of its own on loopback that a server has, 127.20.0.1 and on."""
-    return f"127.{20 + number // PER_SUBNET // 250}.{number // PER_SUBNET % 250}.{number % PER_SUBNET + 1}"
+    return f"127.{20 + number // SUBNET_SIZE // 250}.{number // SUBNET_SIZE % 250}.{number % SUBNET_SIZE + 1}"
 
 
-def number_of(address: str) -> int:
+def server_number(address: str) -> int:
     """The server at such an address."""
-    _, high, subnet, place = map(int, address.split("."))
-    return ((high - 20) * 250 + subnet) * PER_SUBNET + place - 1
+    _, high, subnet, offset = map(int, address.split("."))
+    return ((high - 20) * 250 + subnet) * SUBNET_SIZE + offset - 1
 
 
 def zone_of(number: int) -> str:
@@ -34,7 +34,7 @@
 
 def rack_of(number: int) -> int:
     """A rack stands in one zone."""
-    return number % len(ZONES) + len(ZONES) * (number // len(ZONES) // RACK)
+    return number % len(ZONES) + len(ZONES) * (number // len(ZONES) // SERVERS_PER_RACK)
 
 
 def entries(servers: int, port: int) -> list[EndpointEntry]:
@@ -42,10 +42,10 @@
     return [
         {
             "name": f"s-{zlib.crc32(b'server %d' % n):08x}-{n}",
-            "address": f"{host(n)}:{port}",
+            "address": f"{server_host(n)}:{port}",
             "zone": zone_of(n),
             "type": "m1",
-            "group": n // len(ZONES) // CELL * len(ZONES) + n % len(ZONES),
+            "group": n // len(ZONES) // SERVERS_PER_CELL * len(ZONES) + n % len(ZONES),
             "status": "active",
             "weight": 1.0,
             "since_ms": 0,
@@ -54,17 +54,17 @@
     ]
 
 
-def route(number: int) -> str:
+def route_name(number: int) -> str:
     """The name of a route."""
     return f"route-{number}"
 
 
-def tenant(number: int) -> str:
+def tenant_name(number: int) -> str:
     """The name of a tenant."""
     return f"tenant-{number}"
 
 
-def effect(number: int) -> str:
+def route_effect(number: int) -> str:
     """The effect of a route's requests, in the settings' words."""
     return EFFECTS[number % len(EFFECTS)]
 
@@ -73,8 +73,8 @@
     """A gateway's settings object, with the names and units of the simulator's first message."""
     lanes = [
         {
-            "name": route(n),
-            "effect": effect(n),
+            "name": route_name(n),
+            "effect": route_effect(n),
             "group": "all",
             "windowUs": 5_000_000,
             "aimUs": 400_000,
@@ -115,7 +115,7 @@
         "report": {"fields": ["latency_ms", "eps", "queue"], "how": "piggyback"},
         "shapes": ["m1"],
         "tenants": [
-            {"name": tenant(n), "allowancePerS": 1e6 / (n + 1), "fraction": 1.0 / tenants}
+            {"name": tenant_name(n), "allowancePerS": 1e6 / (n + 1), "fraction": 1.0 / tenants}
             for n in range(tenants)
         ],
         "weights": "silent",
--- a/lab/messages.py
+++ b/lab/messages.py
@@ -24,7 +24,7 @@
 # Discovery
 
 
-class ListenForCalls(Command[dict[str, str]], frozen=True, tag="listen"):
+class StartDiscovery(Command[dict[str, str]], frozen=True, tag="listen"):
     """Answers the addresses, by kind of gateway."""
 
     answer_type: ClassVar[Any] = dict[str, str]
@@ -77,7 +77,7 @@
     written_ns: int
 
 
-class TakeWritten(Command[list[WrittenChange]], frozen=True, tag="written"):
+class FetchWrittenChanges(Command[list[WrittenChange]], frozen=True, tag="written"):
     """Answers the changes written since the last call."""
 
     answer_type: ClassVar[Any] = list[WrittenChange]
@@ -108,20 +108,20 @@
 
 
 RegistryCommand = (
-    ListenForCalls
+    StartDiscovery
     | SetFleet
     | PlayChanges
     | AwaitChanges
     | RestoreEndpoints
     | ChangeStatus
-    | TakeWritten
+    | FetchWrittenChanges
     | ReadRegistryStats
 )
 
 # Statement servers
 
 
-class ListenForStatements(Command[dict[str, int]], frozen=True, tag="listen"):
+class StartEndpoints(Command[dict[str, int]], frozen=True, tag="listen"):
     """Answers the ports, by target."""
 
     answer_type: ClassVar[Any] = dict[str, int]
@@ -156,7 +156,7 @@
     since_ns: int
 
 
-class StatementCounters(Answer, frozen=True):
+class EndpointCounters(Answer, frozen=True):
     """What came from one target's connections."""
 
     requests: int
@@ -165,20 +165,20 @@
     bad: int
 
 
-class StatementStats(Answer, frozen=True):
+class EndpointStats(Answer, frozen=True):
     """The statement servers' counters; `late` is a histogram's text."""
 
     late: str
-    counters: dict[str, StatementCounters]
+    counters: dict[str, EndpointCounters]
 
 
-class ReadStatementStats(Command[StatementStats], frozen=True, tag="stats"):
+class ReadEndpointStats(Command[EndpointStats], frozen=True, tag="stats"):
     """Answers the counters."""
 
-    answer_type: ClassVar[Any] = StatementStats
+    answer_type: ClassVar[Any] = EndpointStats
 
 
-StatementCommand = ListenForStatements | ListIdle | WatchIdle | ReadCloses | ReadStatementStats
+EndpointCommand = StartEndpoints | ListIdle | WatchIdle | ReadCloses | ReadEndpointStats
 
 # Clients
 
--- a/lab/model/score.py
+++ b/lab/model/score.py
@@ -8,7 +8,7 @@
 
 import numpy as np
 
-from lab.child import Hist
+from lab.child import Histogram
 from lab.model.engine import START_US
 from lab.model.requests import RequestEnd
 from lab.model.world import World
@@ -42,7 +42,7 @@
     by_class: Floats  # one row a class: served and offered
     by_tenant: Floats  # one row a tenant: served and offered, without what is over quota
     ends: Counter[str]  # by the words of results
-    latency: Hist
+    latency: Histogram
 
     def parts(self) -> dict[str, float]:
         """The parts of the score, each the share of the weight that was served."""
@@ -71,7 +71,7 @@
         np.zeros((len(traffic.classes), 2)),
         np.zeros((len(traffic.tenants), 2)),
         Counter(),
-        Hist(),
+        Histogram(),
     )
     for row, end in enumerate(world.record.ends):
         class_index, weight = workload.request_class[row], workload.weight[row]
@@ -82,7 +82,7 @@
             in_time = latency_us <= request_class.latency_objective_ms * 1e3
             gain = weight * (1.0 if in_time else request_class.late_weight_share)
             how = "in_time" if in_time else "late"
-            found.latency.add(latency_us)
+            found.latency.record(latency_us)
         found.ends[how] += 1
         found.offered[second] += weight
         found.served[second] += gain
@@ -117,9 +117,9 @@
         **parts,
         "asked": count,
         "shares": {how: found.ends[how] / count if count else 0.0 for how in ENDS},
-        "p50_ms": latency.at(50) if latency.count else None,
-        "p99_ms": latency.at(99) if latency.count else None,
-        "latency": latency.text(),
+        "p50_ms": latency.percentile_ms(50) if latency.count else None,
+        "p99_ms": latency.percentile_ms(99) if latency.count else None,
+        "latency": latency.encode(),
         "costs": costs(world),
         "broken": {"count": world.rules.count, "named": world.rules.named},
         "worth_by_s": [
--- a/lab/page/plot_sections.py
+++ b/lab/page/plot_sections.py
@@ -10,7 +10,7 @@
 from matplotlib.colors import LogNorm
 from matplotlib.figure import Figure
 
-from lab.child import Hist
+from lab.child import Histogram
 from lab.model.results import Result
 from lab.model.summary import format_figure
 from lab.page import html
@@ -58,12 +58,12 @@
     rows, curves = [], {}
     percentiles = 100.0 * (1.0 - 10.0**-NINES)
     for policy, results in plots.view.by_policy.items():
-        hists = [hist for r in results if (hist := Hist(r["latency"])).count]
+        hists = [hist for r in results if (hist := Histogram(r["latency"])).count]
         if hists:
-            curves[policy] = np.array([[h.at(p) for p in percentiles] for h in hists])
+            curves[policy] = np.array([[h.percentile_ms(p) for p in percentiles] for h in hists])
             for hist in hists[1:]:
-                hists[0].join(hist)
-        cells = [format_figure(hists[0].at(p) if hists else None, 0) for p in TABLE_PERCENTILES]
+                hists[0].merge(hist)
+        cells = [format_figure(hists[0].percentile_ms(p) if hists else None, 0) for p in TABLE_PERCENTILES]
         rows.append([plots.view.label(policy), *cells])
     if not curves:
         return html.NO_RESULTS
--- a/lab/probes.py
+++ b/lab/probes.py
@@ -13,7 +13,7 @@
 
 PROBE_GAP_S = 0.2
 PROBE_POLL_S = 0.05
-PROBE_WAIT_S = 3.0  # for a change to be in force
+PROBE_TIMEOUT_S = 3.0  # for a change to be in force
 
 
 async def probe_closes(rig: Rig, changes: list[schedule.Change], start_ns: int) -> Probes:
@@ -22,29 +22,29 @@
     Seen from outside, at the stand-in. No endpoint of the churn is chosen. A change while discovery is down
     counts from the change, not from the return.
     """
-    rng, found = random.Random(rig.plan.seed), Probes()
-    taken = {number for _, _, numbers in changes for number in numbers}
-    end = start_ns / 1e9 + rig.plan.seconds
-    while time.monotonic() < end and rig.reals:
+    rng, probes = random.Random(rig.plan.seed), Probes()
+    changing = {number for _, _, numbers in changes for number in numbers}
+    end_s = start_ns / 1e9 + rig.plan.seconds
+    while time.monotonic() < end_s and rig.real_gateways:
         await asyncio.sleep(PROBE_GAP_S)
-        idle = [n for n, _ in await rig.statements.ask(ListIdle()) if n not in taken]
+        idle = [n for n, _ in await rig.statements.execute(ListIdle()) if n not in changing]
         if idle:
-            await probe_endpoint(rig, rng.choice(idle), found)
-    return found
+            await probe_endpoint(rig, rng.choice(idle), probes)
+    return probes
 
 
-async def probe_endpoint(rig: Rig, endpoint: int, found: Probes) -> None:
+async def probe_endpoint(rig: Rig, endpoint: int, probes: Probes) -> None:
     """Let an endpoint leave and come back, and add how soon its idle connections were closed."""
-    await rig.statements.ask(WatchIdle(endpoint=endpoint))
-    since_ns = await rig.registry.ask(ChangeStatus(endpoint=endpoint, status="leaving"))
-    until = time.monotonic() + PROBE_WAIT_S
+    await rig.statements.execute(WatchIdle(endpoint=endpoint))
+    since_ns = await rig.registry.execute(ChangeStatus(endpoint=endpoint, status="leaving"))
+    deadline_s = time.monotonic() + PROBE_TIMEOUT_S
     while True:
         await asyncio.sleep(PROBE_POLL_S)
-        closes = await rig.statements.ask(ReadCloses(endpoint=endpoint, since_ns=since_ns))
-        if not closes.standing or time.monotonic() >= until:
+        closes = await rig.statements.execute(ReadCloses(endpoint=endpoint, since_ns=since_ns))
+        if not closes.standing or time.monotonic() >= deadline_s:
             break
-    await rig.registry.ask(ChangeStatus(endpoint=endpoint, status="active"))
-    found.count += 1
-    found.standing += closes.standing
+    await rig.registry.execute(ChangeStatus(endpoint=endpoint, status="active"))
+    probes.count += 1
+    probes.unclosed += closes.standing
     for after_us in closes.after_us:
-        found.hist.add(after_us)
+        probes.latency.record(after_us)
--- a/lab/processes.py
+++ b/lab/processes.py
@@ -14,14 +14,14 @@
 import msgspec
 import psutil
 
-from lab.child import LINE_LIMIT
+from lab.child import MAX_LINE_BYTES
 from lab.messages import AnswerT, Command
 from load_balancer.errors import LoadBalancerError
 
 ROOT = Path(__file__).parent.parent
 POLL_S = 0.1
-ENDING_S = 2.0  # from SIGTERM to SIGKILL
-ANSWER_S = 120.0
+TERMINATION_TIMEOUT_S = 2.0  # from SIGTERM to SIGKILL
+ANSWER_TIMEOUT_S = 120.0
 
 
 class ChildError(LoadBalancerError, RuntimeError):
@@ -38,44 +38,44 @@
     def __init__(self, name: str, process: asyncio.subprocess.Process) -> None:
         self.name = name
         self.process = process
-        self.ps = psutil.Process(process.pid)
-        self.over = False
+        self.psutil_process = psutil.Process(process.pid)
+        self.over_memory_bound = False
         self.lock = asyncio.Lock()
-        self.most_bytes = 0
+        self.peak_bytes = 0
 
-    def resident(self) -> int:
+    def resident_bytes(self) -> int:
         """Bytes; 0 once it has ended."""
         with contextlib.suppress(psutil.Error):
-            rss = int(self.ps.memory_info().rss)
-            self.most_bytes = max(self.most_bytes, rss)
+            rss = int(self.psutil_process.memory_info().rss)
+            self.peak_bytes = max(self.peak_bytes, rss)
             return rss
         return 0
 
     def cpu_s(self) -> float:
         """Processor time so far, of all threads: to the nanosecond where the kernel tells, else to 10 ms."""
-        self.check()
+        self.raise_if_ended()
         with contextlib.suppress(OSError, OverflowError):
-            return time.clock_gettime(~self.ps.pid << 3 | 2)  # clock_getcpuclockid(3) on Linux
+            return time.clock_gettime(~self.psutil_process.pid << 3 | 2)  # clock_getcpuclockid(3) on Linux
         try:
-            times = self.ps.cpu_times()
+            times = self.psutil_process.cpu_times()
         except psutil.Error:
-            self.check(gone=True)
+            self.raise_if_ended(has_ended=True)
             raise
         return float(times.user + times.system)
 
-    def check(self, gone: bool = False) -> None:
+    def raise_if_ended(self, has_ended: bool = False) -> None:
         """Check that it runs.
 
         Raises:
             MemoryBoundError: It was ended over the bound of memory.
             ChildError: It has ended by itself, or `gone` says so.
         """
-        if self.over:
+        if self.over_memory_bound:
             raise MemoryBoundError(f"{self.name} was ended over the bound of memory")
-        if gone or self.process.returncode is not None:
+        if has_ended or self.process.returncode is not None:
             raise ChildError(f"{self.name} has ended by itself: {self.process.returncode}")
 
-    async def ask(self, command: Command[AnswerT]) -> AnswerT:
+    async def execute(self, command: Command[AnswerT]) -> AnswerT:
         """Send a command; returns the child's answer.
 
         Raises:
@@ -85,29 +85,29 @@
         assert stdin is not None
         assert stdout is not None
         async with self.lock:
-            self.check()
+            self.raise_if_ended()
             try:
-                async with asyncio.timeout(ANSWER_S):
+                async with asyncio.timeout(ANSWER_TIMEOUT_S):
                     stdin.write(msgspec.json.encode(command) + b"\n")
                     await stdin.drain()
                     line = await stdout.readline()
             except (TimeoutError, ConnectionError, RuntimeError) as error:  # the last from a closed pipe
-                self.check()
+                self.raise_if_ended()
                 name = command.__struct_config__.tag
                 raise ChildError(f"{self.name} does not answer to {name}: {error!r}") from None
             if not line:
                 await self.process.wait()
-                self.check(gone=True)
+                self.raise_if_ended(has_ended=True)
             answer: AnswerT = msgspec.json.decode(line, type=command.answer_type)
             return answer
 
-    async def end(self, gently: bool = True) -> None:
+    async def end(self, graceful: bool = True) -> None:
         """End it by its id, and wait for that."""
-        if self.process.returncode is None and gently:
+        if self.process.returncode is None and graceful:
             with contextlib.suppress(ProcessLookupError):
                 self.process.terminate()
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(ENDING_S):
+                async with asyncio.timeout(TERMINATION_TIMEOUT_S):
                     await self.process.wait()
         if self.process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
@@ -119,12 +119,12 @@
     """All children of a run; none outlives it."""
 
     def __init__(self, memory_mb: int, logs: Path) -> None:
-        self.bound = memory_mb * 1_000_000
+        self.memory_bound_bytes = memory_mb * 1_000_000
         self.logs = logs
         self.running: list[Child] = []
-        self.files: list[BinaryIO] = []
+        self.log_files: list[BinaryIO] = []
         self.memory_guard: asyncio.Task[None] | None = None
-        self.most_bytes = 0
+        self.peak_bytes = 0
 
     async def __aenter__(self) -> Children:
         self.memory_guard = asyncio.get_running_loop().create_task(self.enforce_memory_bound())
@@ -138,8 +138,8 @@
         for child in self.running:  # at once, so that nothing comes between
             with contextlib.suppress(ProcessLookupError):
                 child.process.kill()
-        await asyncio.gather(*(child.end(gently=False) for child in self.running))
-        for file in self.files:
+        await asyncio.gather(*(child.end(graceful=False) for child in self.running))
+        for file in self.log_files:
             file.close()
 
     async def start(self, name: str, *arguments: str, **environ: str) -> Child:
@@ -149,7 +149,7 @@
         """
         environment = {key: value for key, value in os.environ.items() if not key.startswith("ROUTER_")}
         log = (self.logs / f"{name}.log").open("wb")
-        self.files.append(log)
+        self.log_files.append(log)
         starting = asyncio.ensure_future(
             asyncio.create_subprocess_exec(
                 sys.executable,
@@ -160,34 +160,36 @@
                 stderr=log,
                 cwd=ROOT,
                 env={**environment, "OPENBLAS_NUM_THREADS": "1", **environ},
-                limit=LINE_LIMIT,
+                limit=MAX_LINE_BYTES,
                 start_new_session=True,
             )
         )
         try:
             process = await asyncio.shield(starting)
         except asyncio.CancelledError:
-            await Child(name, await starting).end(gently=False)  # none is lost between its start and here
+            await Child(name, await starting).end(graceful=False)  # none is lost between its start and here
             raise
         child = Child(name, process)
         self.running.append(child)
         return child
 
-    async def end(self, child: Child, gently: bool = True) -> None:
+    async def end(self, child: Child, graceful: bool = True) -> None:
         """End one child."""
-        await child.end(gently)
+        await child.end(graceful)
         if child in self.running:
             self.running.remove(child)
 
     async def enforce_memory_bound(self) -> None:
         """End the largest child while all together hold more than the bound."""
         while True:
-            held = {child: child.resident() for child in self.running if not child.over}
-            total = sum(held.values())
-            self.most_bytes = max(self.most_bytes, total)
-            if total > self.bound:
-                largest = max(held, key=lambda child: held[child])
-                largest.over = True
+            resident = {
+                child: child.resident_bytes() for child in self.running if not child.over_memory_bound
+            }
+            total = sum(resident.values())
+            self.peak_bytes = max(self.peak_bytes, total)
+            if total > self.memory_bound_bytes:
+                largest = max(resident, key=lambda child: resident[child])
+                largest.over_memory_bound = True
                 with contextlib.suppress(ProcessLookupError):
                     largest.process.kill()
             await asyncio.sleep(POLL_S)
--- a/lab/readiness.py
+++ b/lab/readiness.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Iterable
 
-from lab.child import Hist
+from lab.child import Histogram
 from lab.messages import Address
 
 POLL_S = 0.002  # between two polls of one gateway
@@ -27,12 +27,12 @@
     """Asks each gateway whether it is ready, again and again."""
 
     def __init__(self) -> None:
-        self.hist = Hist()
+        self.hist = Histogram()
         self.tasks: list[asyncio.Task[None]] = []
 
     def start(self, gateways: Iterable[Address]) -> None:
         """Begin anew, with a connection to each gateway."""
-        self.hist = Hist()
+        self.hist = Histogram()
         self.tasks = [asyncio.create_task(self._poll(host, port)) for host, port in gateways]
 
     async def _poll(self, host: str, port: int) -> None:
@@ -41,7 +41,7 @@
             while True:
                 began = time.perf_counter_ns()
                 await fetch(reader, writer, READY_REQUEST)
-                self.hist.add((time.perf_counter_ns() - began) / 1e3)
+                self.hist.record((time.perf_counter_ns() - began) / 1e3)
                 await asyncio.sleep(POLL_S)
         finally:
             writer.close()
@@ -53,4 +53,4 @@
                 task.result()
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
-        return self.hist.text()
+        return self.hist.encode()
--- a/lab/records.py
+++ b/lab/records.py
@@ -7,11 +7,11 @@
 
 import msgspec
 
-from lab.child import Hist
+from lab.child import Histogram
 from lab.gateway_messages import PoolStats
 from lab.messages import (
+    EndpointCounters,
     RegistryCounters,
-    StatementCounters,
     TargetResult,
 )
 
@@ -40,10 +40,10 @@
 class Reading:
     """Counters at one moment; two of them make rates."""
 
-    at: float  # seconds, monotonic
+    time_s: float  # seconds, monotonic
     registry: dict[str, RegistryCounters]  # by kind of gateways
-    statements: dict[str, StatementCounters]  # by target
-    simulated: list[PoolStats]
+    statements: dict[str, EndpointCounters]  # by target
+    pool_stats: list[PoolStats]
     cpu_s: dict[str, float]  # by process
 
 
@@ -51,7 +51,7 @@
 class InForceRecord:
     """How soon the simulated gateways received changes."""
 
-    hist: Hist
+    latency: Histogram
     changes: int
     skipped: int
 
@@ -60,9 +60,9 @@
 class Probes:
     """Endpoints that began to leave, and how soon their idle connections were closed."""
 
-    hist: Hist = field(default_factory=Hist)
+    latency: Histogram = field(default_factory=Histogram)
     count: int = 0
-    standing: int = 0  # connections that were not closed in time
+    unclosed: int = 0  # connections that were not closed in time
 
 
 @dataclass
@@ -80,18 +80,18 @@
     @property
     def took_s(self) -> float:
         """Between the two readings."""
-        return self.after.at - self.before.at
+        return self.after.time_s - self.before.time_s
 
 
 @dataclass
 class Problems:
     """What speaks against a run's figures."""
 
-    late: dict[str, Hist] = field(default_factory=dict)  # by process: how far behind the schedule
+    late: dict[str, Histogram] = field(default_factory=dict)  # by process: how far behind the schedule
     schedule: list[str] = field(default_factory=list)  # why it was not kept
     over_bound: list[str] = field(default_factory=list)  # what was ended over a bound
     broken: list[str] = field(default_factory=list)  # what must never be, as another request's answer
 
-    def note_late(self, who: str, text: str) -> None:
+    def note_late(self, process: str, encoded: str) -> None:
         """Add a histogram's text."""
-        self.late.setdefault(who, Hist()).join(Hist(text))
+        self.late.setdefault(process, Histogram()).merge(Histogram(encoded))
--- a/lab/registry_connection.py
+++ b/lab/registry_connection.py
@@ -9,12 +9,12 @@
 import httptools
 
 
-def chunk(data: bytes) -> bytes:
+def encode_chunk(data: bytes) -> bytes:
     """A chunk of a chunked body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-class Call(asyncio.Protocol):
+class DiscoveryConnection(asyncio.Protocol):
     """One connection of a gateway.
 
     Args:
@@ -29,15 +29,15 @@
         self,
         gateway_kind: str,
         counters: dict[str, int],
-        open_calls: set[Call],
-        watches: dict[Call, None],
-        handle_call: Callable[[Call, bytes], None],
+        open_connections: set[DiscoveryConnection],
+        watches: dict[DiscoveryConnection, None],
+        handle_request: Callable[[DiscoveryConnection, bytes], None],
     ) -> None:
         self.gateway_kind = gateway_kind
         self.counters = counters
-        self.open_calls = open_calls
+        self.open_connections = open_connections
         self.watches = watches
-        self.handle_call = handle_call
+        self.handle_request = handle_request
         self.parser = httptools.HttpRequestParser(self)
         self.target = b""
         self.transport: asyncio.Transport | None = None
@@ -45,12 +45,12 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """See asyncio.Protocol."""
         self.transport = cast(asyncio.Transport, transport)
-        self.open_calls.add(self)
+        self.open_connections.add(self)
 
     def connection_lost(self, _exc: Exception | None) -> None:
         """See asyncio.Protocol."""
         self.transport = None
-        self.open_calls.discard(self)
+        self.open_connections.discard(self)
         self.watches.pop(self, None)
 
     def data_received(self, data: bytes) -> None:
@@ -70,7 +70,7 @@
 
     def on_message_complete(self) -> None:
         """See httptools."""
-        self.handle_call(self, self.target)
+        self.handle_request(self, self.target)
 
     def write(self, data: bytes) -> None:
         """Send and count, unless it is closing."""
--- a/lab/reload.py
+++ b/lab/reload.py
@@ -13,7 +13,7 @@
 from lab import fit, records
 from lab.change_driver import ChangeDriver
 from lab.changes import changes
-from lab.child import Hist
+from lab.child import Histogram
 from lab.figures import check_schedule, machine
 from lab.gateway_messages import (
     MeasureChanges,
@@ -22,7 +22,7 @@
 )
 from lab.processes import Children, MemoryBoundError
 from lab.rig import ReportProgress, Rig
-from lab.scale import WARM_S
+from lab.scale import WARM_UP_S
 
 DAY_S = 86_400
 DAILY = 380  # changes a day that operators make
@@ -63,7 +63,7 @@
     @property
     def lasts_s(self) -> float:
         """Seconds of requests, once with changes and once without."""
-        return max(self.seconds, self.changes_with_requests * self.every_s) + WARM_S
+        return max(self.seconds, self.changes_with_requests * self.every_s) + WARM_UP_S
 
 
 def make_scale_plan(plan: Plan) -> records.Plan:
@@ -102,35 +102,40 @@
         rig = self.rig
         await rig.open()
         await rig.set_fleet(self.plan.servers)
-        await rig.start_reals()
+        await rig.start_real_gateways()
         self.poller = await rig.children.start("pulse", "lab.changes")
-        for gateway in rig.reals:
+        for gateway in rig.real_gateways:
             self.driver.add(gateway, rig.out / "logs" / f"{gateway.child.name}.json")
 
     async def with_clients(self, every_s: float | None) -> dict[str, Any]:
         """Requests for a while, through the gateways and straight; with changes, or without."""
         plan = self.plan
         rig = self.rig
-        hists: dict[str, Hist] = {}
+        hists: dict[str, Histogram] = {}
         finish = await rig.play_clients(
-            rig.reals, plan.rate * plan.real, plan.lasts_s, plan.routes, plan.tenants, warm=WARM_S
+            rig.real_gateways,
+            plan.rate * plan.real,
+            plan.lasts_s,
+            plan.routes,
+            plan.tenants,
+            warm_up_s=WARM_UP_S,
         )
-        begins = time.monotonic() + WARM_S
-        await self.poller.ask(StartPolling(gateways=[gateway.address for gateway in rig.reals]))
+        begins = time.monotonic() + WARM_UP_S
+        await self.poller.execute(StartPolling(gateways=[gateway.address for gateway in rig.real_gateways]))
         for n in range(plan.changes_with_requests if every_s else 0):
             await asyncio.sleep(max(0.0, begins + (n + 0.25) * plan.every_s - time.monotonic()))
             await self.driver.make_change(hists)
         targets = await finish()
         found: dict[str, Any] = {
-            name: {**(Hist(target.latency).summary() or {}), "answers": target.counts}
+            name: {**(Histogram(target.latency).summary() or {}), "answers": target.counts}
             for name, target in targets.items()
         }
-        found["loop"] = Hist(await self.poller.ask(StopPolling())).summary()
+        found["loop"] = Histogram(await self.poller.execute(StopPolling())).summary()
         return found | ({"in_force": summaries(hists)} if every_s else {})
 
     async def alone(self) -> dict[str, Any]:
         """Processor time of a change with no request under way, and no look until it is over."""
-        reals = self.rig.reals
+        reals = self.rig.real_gateways
         spent: list[float] = []
         idle: list[float] = []
         for _ in range(CHANGES_ALONE):
@@ -168,32 +173,34 @@
         """Changes one after the other without a wait; the memory that each gateway holds in between."""
         plan = self.plan
         rig = self.rig
-        hists: dict[str, Hist] = {}
+        hists: dict[str, Histogram] = {}
         every = max(1, plan.changes // SAMPLES)
-        held: dict[str, list[int]] = {gateway.child.name: [gateway.child.resident()] for gateway in rig.reals}
+        held: dict[str, list[int]] = {
+            gateway.child.name: [gateway.child.resident_bytes()] for gateway in rig.real_gateways
+        }
         counts = [0]
         began = time.monotonic()
-        before = sum(gateway.child.cpu_s() for gateway in rig.reals)
+        before = sum(gateway.child.cpu_s() for gateway in rig.real_gateways)
         for n in range(1, plan.changes + 1):
             await self.driver.make_change(hists)
             if n % every == 0:
                 counts.append(n)
-                for gateway in rig.reals:
-                    held[gateway.child.name].append(gateway.child.resident())
+                for gateway in rig.real_gateways:
+                    held[gateway.child.name].append(gateway.child.resident_bytes())
                 self.report_progress(f"{n} changes")
-        cpu_s = sum(gateway.child.cpu_s() for gateway in rig.reals) - before
+        cpu_s = sum(gateway.child.cpu_s() for gateway in rig.real_gateways) - before
         warm = next((k for k, count in enumerate(counts) if count >= plan.changes / 10), 0)
         return {
             "changes": plan.changes,
             "took_s": time.monotonic() - began,
             "in_force": summaries(hists),
-            "cpu_s_each_with_polls": cpu_s / plan.changes / len(rig.reals),
+            "cpu_s_each_with_polls": cpu_s / plan.changes / len(rig.real_gateways),
             "memory": {
                 name: {
                     "first_bytes": bytes_[0],
                     "after_a_tenth_bytes": bytes_[warm],
                     "last_bytes": bytes_[-1],
-                    "line": fit.line(counts[warm:], bytes_[warm:]),
+                    "line": fit.fit_line(counts[warm:], bytes_[warm:]),
                 }
                 for name, bytes_ in held.items()
             },
@@ -211,11 +218,11 @@
             tenants=plan.tenants,
             changes=min(plan.changes, MAX_SIMULATED_CHANGES),
         )
-        found: dict[str, Any] = msgspec.to_builtins(await child.ask(command))
+        found: dict[str, Any] = msgspec.to_builtins(await child.execute(command))
         return found
 
 
-def summaries(hists: dict[str, Hist]) -> dict[str, Any]:
+def summaries(hists: dict[str, Histogram]) -> dict[str, Any]:
     """The summary of each histogram."""
     return {what: hist.summary() for what, hist in hists.items()}
 
@@ -266,6 +273,6 @@
             "schedule": schedule,
             "over_bound": run.rig.problems.over_bound,
             "broken": list(dict.fromkeys(run.rig.problems.broken)),
-            "memory_most_mb": children.most_bytes / 1e6,
+            "memory_most_mb": children.peak_bytes / 1e6,
             "figures" if schedule["kept"] else "void": figures,
         }
--- a/lab/rig.py
+++ b/lab/rig.py
@@ -12,29 +12,29 @@
 from typing import Any
 
 from lab import fleet
-from lab.child import Hist
-from lab.clients import DIRECT_SERVERS
+from lab.child import Histogram
+from lab.clients import MAX_DIRECT_ENDPOINTS
 from lab.gateway_messages import ReadPoolStats
 from lab.messages import (
     Address,
     AwaitRequests,
     ClientResult,
-    ListenForCalls,
-    ListenForStatements,
     PlayRequests,
+    ReadEndpointStats,
     ReadRegistryStats,
-    ReadStatementStats,
     SetFleet,
+    StartDiscovery,
+    StartEndpoints,
     TargetResult,
 )
 from lab.processes import Child, Children
 from lab.records import Plan, Problems, Reading
 
-START_S = 120.0  # until a gateway is ready, at most
-WATCH_S = 20.0  # until it watches
+START_TIMEOUT_S = 120.0  # until a gateway is ready, at most
+WATCH_TIMEOUT_S = 20.0  # until it watches
 POLL_S = 0.005
 GATEWAY_SOCKETS = 1024
-REQUESTS_MARGIN = 100  # of request ids, beyond what a rate gives on average
+EXTRA_REQUEST_IDS = 100  # of request ids, beyond what a rate gives on average
 WRONG_ANSWERS = ("wrong body", "400", "404")
 
 ReportProgress = Callable[[str], None]
@@ -49,7 +49,7 @@
     address: Address
     ready_s: float
     start_cpu_s: float
-    ready_bytes: int
+    resident_at_ready_bytes: int
     settings_bytes: int
 
 
@@ -62,26 +62,26 @@
         self.out = out
         self.report_progress = report_progress
         self.problems = Problems()
-        self.reals: list[RealGateway] = []
-        self.simulated: list[Child] = []  # processes of many gateways each
-        self.simulated_base = 0  # bytes that they hold without a gateway, the settings read
+        self.real_gateways: list[RealGateway] = []
+        self.simulated_processes: list[Child] = []  # processes of many gateways each
+        self.simulated_base_bytes = 0  # bytes that they hold without a gateway, the settings read
         self.addresses: dict[str, str] = {}  # of discovery
         self.ports: dict[str, int] = {}  # of the statement servers
         self.list_index = 0
         self.list_bytes = 0
-        self._next_request = 2  # even, so that each pair has one service time
+        self._next_request_id = 2  # even, so that each pair has one service time
 
     async def open(self) -> None:
         """Start the stand-ins and the clients."""
         self.registry, self.statements, self.clients = [
             await self.children.start(name, f"lab.{name}") for name in ("registry", "statements", "clients")
         ]
-        self.addresses = await self.registry.ask(ListenForCalls())
-        self.ports = await self.statements.ask(ListenForStatements(seed=self.plan.seed))
+        self.addresses = await self.registry.execute(StartDiscovery())
+        self.ports = await self.statements.execute(StartEndpoints(seed=self.plan.seed))
 
     async def set_fleet(self, endpoints: int) -> None:
         """Let discovery list another fleet."""
-        state = await self.registry.ask(SetFleet(endpoints=endpoints, port=self.ports["gateway"]))
+        state = await self.registry.execute(SetFleet(endpoints=endpoints, port=self.ports["gateway"]))
         self.list_index = state.index
         self.list_bytes = state.bytes
 
@@ -90,18 +90,18 @@
     ) -> tuple[Path, int]:
         """Write a gateway's configuration file; returns how long its settings are too, in bytes."""
         settings = fleet.settings(routes, tenants, gateways, index)
-        known = fleet.entries(servers, self.ports["gateway"])
-        raw = {
+        entries = fleet.entries(servers, self.ports["gateway"])
+        config = {
             "name": name,
             "listen": "127.0.0.1:0",
             "discovery": self.addresses["real"],
             "seed": f"{self.plan.seed + index:x}",
             "limits": {"sockets": GATEWAY_SOCKETS},
-            "known": {"index": self.list_index, "snapshot": True, "endpoints": known},
+            "known": {"index": self.list_index, "snapshot": True, "endpoints": entries},
             "settings": settings,
         }
         path = self.out / "logs" / f"{name}.json"
-        path.write_text(json.dumps(raw), encoding="utf-8")
+        path.write_text(json.dumps(config), encoding="utf-8")
         return path, len(json.dumps(settings))
 
     async def start_gateway(
@@ -110,42 +110,44 @@
         """Start a real gateway; returns once it says that it is ready."""
         path, settings_bytes = self.write_config(name, servers, routes, tenants, index, gateways)
         host = f"127.0.1.{index + 1}"
-        with socket.create_server((host, 0)) as free:
-            port = free.getsockname()[1]
-        began = time.monotonic()
+        with socket.create_server((host, 0)) as listener:
+            port = listener.getsockname()[1]
+        started_s = time.monotonic()
         child = await self.children.start(
             name, "load_balancer", ROUTER_CONFIG=str(path.resolve()), ROUTER_LISTEN=f"{host}:{port}"
         )
-        async with asyncio.timeout(START_S):
+        async with asyncio.timeout(START_TIMEOUT_S):
             while not await is_ready(host, port):
-                child.check()
+                child.raise_if_ended()
                 await asyncio.sleep(POLL_S)
-        ready_s = time.monotonic() - began
-        return RealGateway(child, (host, port), ready_s, child.cpu_s(), child.resident(), settings_bytes)
+        ready_s = time.monotonic() - started_s
+        return RealGateway(
+            child, (host, port), ready_s, child.cpu_s(), child.resident_bytes(), settings_bytes
+        )
 
-    async def start_reals(self) -> None:
+    async def start_real_gateways(self) -> None:
         """Start all real gateways of the plan; returns once they watch."""
         plan = self.plan
         self.report_progress(f"{plan.real} real gateways")
-        self.list_index = (await self.registry.ask(ReadRegistryStats())).index
+        self.list_index = (await self.registry.execute(ReadRegistryStats())).index
         starting = (
             self.start_gateway(f"real-{n}", plan.servers, plan.routes, plan.tenants, n, plan.real)
             for n in range(plan.real)
         )
-        self.reals = list(await asyncio.gather(*starting))
+        self.real_gateways = list(await asyncio.gather(*starting))
         await self.await_watches("real", plan.real)
 
-    async def await_watches(self, gateway_kind: str, count: int) -> None:
+    async def await_watches(self, kind: str, count: int) -> None:
         """Wait until so many gateways of a kind watch."""
         try:
-            async with asyncio.timeout(WATCH_S):
-                while (await self.registry.ask(ReadRegistryStats())).counters[gateway_kind].watches < count:
+            async with asyncio.timeout(WATCH_TIMEOUT_S):
+                while (await self.registry.execute(ReadRegistryStats())).counters[kind].watches < count:
                     for child in self.children.running:
-                        child.check()
+                        child.raise_if_ended()
                     await asyncio.sleep(4 * POLL_S)
         except TimeoutError:
             self.problems.schedule.append(
-                f"of {count} {gateway_kind} gateways not all watch after {WATCH_S:g} s"
+                f"of {count} {kind} gateways not all watch after {WATCH_TIMEOUT_S:g} s"
             )
 
     async def play_clients(
@@ -155,53 +157,57 @@
         seconds: float,
         routes: int,
         tenants: int,
-        warm: float,
+        warm_up_s: float,
     ) -> FinishRequests:
         """Start clients; straight requests go along where they are to be compared.
 
         Returns:
             What waits until all requests have ended, and returns what came of them.
         """
-        straight = min(DIRECT_SERVERS, self.plan.servers) if warm else 0
-        await self.clients.ask(
+        direct_count = min(MAX_DIRECT_ENDPOINTS, self.plan.servers) if warm_up_s else 0
+        await self.clients.execute(
             PlayRequests(
                 seed=self.plan.seed,
                 rate=rate,
                 seconds=seconds,
                 routes=routes,
                 tenants=tenants,
-                first=self._next_request,
-                warm=warm,
+                first=self._next_request_id,
+                warm=warm_up_s,
                 gateways=[gateway.address for gateway in gateways],
-                direct=[(fleet.host(n), self.ports["direct"]) for n in range(straight)],
+                direct=[(fleet.server_host(n), self.ports["direct"]) for n in range(direct_count)],
             )
         )
-        self._next_request += 4 * int(rate * seconds + REQUESTS_MARGIN)
+        self._next_request_id += 4 * int(rate * seconds + EXTRA_REQUEST_IDS)
         return self._finish_clients
 
     async def _finish_clients(self) -> dict[str, TargetResult]:
-        result: ClientResult = await self.clients.ask(AwaitRequests())
+        result: ClientResult = await self.clients.execute(AwaitRequests())
         self.problems.note_late("clients", result.late)
         for name, target in result.targets.items():
-            for what in WRONG_ANSWERS:
-                if target.counts.get(what):
-                    self.problems.broken.append(f"{target.counts[what]} requests ({name}) ended as {what}")
+            for outcome in WRONG_ANSWERS:
+                if target.counts.get(outcome):
+                    self.problems.broken.append(
+                        f"{target.counts[outcome]} requests ({name}) ended as {outcome}"
+                    )
         return result.targets
 
-    async def read(self) -> Reading:
+    async def read_counters(self) -> Reading:
         """The counters of now; how late the stand-ins are is noted with them."""
         registry, statements = await asyncio.gather(
-            self.registry.ask(ReadRegistryStats()), self.statements.ask(ReadStatementStats())
+            self.registry.execute(ReadRegistryStats()), self.statements.execute(ReadEndpointStats())
+        )
+        pool_stats = await asyncio.gather(
+            *(child.execute(ReadPoolStats()) for child in self.simulated_processes)
         )
-        simulated = await asyncio.gather(*(child.ask(ReadPoolStats()) for child in self.simulated))
         late = self.problems.late
-        late["registry"], late["statements"] = Hist(registry.late), Hist(statements.late)
-        if simulated:
-            late["hollow"] = Hist()
-            for stats in simulated:
+        late["registry"], late["statements"] = Histogram(registry.late), Histogram(statements.late)
+        if pool_stats:
+            late["hollow"] = Histogram()
+            for stats in pool_stats:
                 self.problems.note_late("hollow", stats.late)
         cpu_s = {child.name: child.cpu_s() for child in self.children.running}
-        return Reading(time.monotonic(), registry.counters, statements.counters, list(simulated), cpu_s)
+        return Reading(time.monotonic(), registry.counters, statements.counters, list(pool_stats), cpu_s)
 
 
 async def is_ready(host: str, port: int) -> bool:
--- a/lab/running.py
+++ b/lab/running.py
@@ -43,24 +43,24 @@
         out.mkdir(parents=True, exist_ok=True)
     except OSError as error:
         raise click.BadParameter(f"{out} cannot be made: {error.strerror}") from None
-    began = time.monotonic()
+    started_s = time.monotonic()
 
     def report_progress(text: str) -> None:
-        print(f"[{time.monotonic() - began:6.1f} s] {text}", file=sys.stderr, flush=True)
+        print(f"[{time.monotonic() - started_s:6.1f} s] {text}", file=sys.stderr, flush=True)
 
     try:
-        found = run_interruptible(play(report_progress))
+        result = run_interruptible(play(report_progress))
     except ChildError as error:
         print(f"lab: {error}; see {out / 'logs'}", file=sys.stderr)
         return EXIT_FAILED
-    if found is None:
+    if result is None:
         print("lab: interrupted; every child has ended", file=sys.stderr)
         return EXIT_INTERRUPTED
-    (out / "result.json").write_text(json.dumps(found, indent=1) + "\n", encoding="utf-8")
-    print(make_report(found))
-    if not found["schedule"]["kept"]:
+    (out / "result.json").write_text(json.dumps(result, indent=1) + "\n", encoding="utf-8")
+    print(make_report(result))
+    if not result["schedule"]["kept"]:
         return EXIT_OVERLOADED
-    return EXIT_FAILED if found["over_bound"] or found["broken"] else 0
+    return EXIT_FAILED if result["over_bound"] or result["broken"] else 0
 
 
 def run_interruptible(play: Coroutine[Any, Any, T]) -> T | None:
@@ -70,12 +70,12 @@
         loop, task = asyncio.get_running_loop(), asyncio.ensure_future(play)
 
         def interrupt() -> None:
-            for number in (signal.SIGINT, signal.SIGTERM):  # once: the tidying up is not interrupted
-                loop.add_signal_handler(number, lambda: None)
+            for signal_number in (signal.SIGINT, signal.SIGTERM):  # once: the tidying up is not interrupted
+                loop.add_signal_handler(signal_number, lambda: None)
             task.cancel()
 
-        for number in (signal.SIGINT, signal.SIGTERM):
-            loop.add_signal_handler(number, interrupt)
+        for signal_number in (signal.SIGINT, signal.SIGTERM):
+            loop.add_signal_handler(signal_number, interrupt)
         try:
             return await task
         except asyncio.CancelledError:
--- a/lab/scale.py
+++ b/lab/scale.py
@@ -12,7 +12,7 @@
 import psutil
 
 from lab import schedule
-from lab.child import Hist
+from lab.child import Histogram
 from lab.figures import FULL_CORE, result
 from lab.gateway_messages import (
     AddGateways,
@@ -23,41 +23,41 @@
 from lab.messages import (
     AwaitChanges,
     Command,
+    FetchWrittenChanges,
     PlayChanges,
     RestoreEndpoints,
-    TakeWritten,
 )
 from lab.probes import probe_closes
 from lab.processes import Children, MemoryBoundError
 from lab.records import InForceRecord, Plan, Point, Reading, ScenarioRecord
-from lab.rig import START_S, ReportProgress, Rig
+from lab.rig import START_TIMEOUT_S, ReportProgress, Rig
 
-PARTS = 4  # sizes of each kind, up to the one asked
-BASE = {"servers": 20, "routes": 4, "tenants": 4}  # of those that a sweep leaves alone
+SIZES_PER_KIND = 4  # sizes of each kind, up to the one asked
+BASE_SIZES = {"servers": 20, "routes": 4, "tenants": 4}  # of those that a sweep leaves alone
 SWEEP_RATE = 200.0  # requests a second to the one gateway
 STEP_S = 1.5  # of an ordinary day at each number of simulated gateways
-PER_PROCESS = 25  # simulated gateways at most
-LEAST_PROCESSES = psutil.cpu_count() or 1  # if there are as many gateways
-SEEDS_PER_PROCESS = 1000
+MAX_GATEWAYS_PER_PROCESS = 25  # simulated gateways at most
+MIN_PROCESSES = psutil.cpu_count() or 1  # if there are as many gateways
+SEED_STRIDE = 1000
 SETTLE_S = 0.5
-WARM_S = 0.5
+WARM_UP_S = 0.5
 
 
 async def sweep(rig: Rig) -> dict[str, list[Point]]:
     """One real gateway alone at several sizes of each kind, the others small."""
     plan = rig.plan
-    wanted = {"servers": plan.servers, "routes": plan.routes, "tenants": plan.tenants}
-    base = {kind: min(BASE[kind], wanted[kind]) for kind in wanted}
+    plan_sizes = {"servers": plan.servers, "routes": plan.routes, "tenants": plan.tenants}
+    base_sizes = {kind: min(BASE_SIZES[kind], plan_sizes[kind]) for kind in plan_sizes}
     points: dict[str, list[Point]] = {}
-    for kind, most in wanted.items():
+    for kind, largest in plan_sizes.items():
         points[kind] = []
-        for size in sizes(most):
+        for size in sweep_sizes(largest):
             rig.report_progress(f"one gateway with {size} {kind}")
-            points[kind].append({"size": size, **await sweep_point(rig, {**base, kind: size})})
+            points[kind].append({"size": size, **await measure_real_gateway(rig, {**base_sizes, kind: size})})
     return points
 
 
-async def sweep_point(rig: Rig, size: dict[str, int]) -> Point:
+async def measure_real_gateway(rig: Rig, size: dict[str, int]) -> Point:
     """The figures of one gateway at a size."""
     name = "sweep-" + "x".join(map(str, size.values()))
     await rig.set_fleet(size["servers"])
@@ -65,13 +65,13 @@
         gateway = await rig.start_gateway(name, **size)
         before_s = gateway.child.cpu_s()
         finish = await rig.play_clients(
-            [gateway], SWEEP_RATE, rig.plan.sweep_s, size["routes"], size["tenants"], warm=0.0
+            [gateway], SWEEP_RATE, rig.plan.sweep_s, size["routes"], size["tenants"], warm_up_s=0.0
         )
         counts = (await finish())["gateway"].counts
         requests = max(1, sum(counts.values()))
         return {
-            "resident_bytes": gateway.child.resident(),
-            "resident_at_ready_bytes": gateway.ready_bytes,
+            "resident_bytes": gateway.child.resident_bytes(),
+            "resident_at_ready_bytes": gateway.resident_at_ready_bytes,
             "ready_s": gateway.ready_s,
             "start_cpu_s": gateway.start_cpu_s,
             "settings_bytes": gateway.settings_bytes,
@@ -83,20 +83,20 @@
         rig.problems.over_bound.append(name)
         return {"over_bound": True}
     except TimeoutError:
-        rig.problems.over_bound.append(f"{name} (not ready after {START_S:g} s)")
+        rig.problems.over_bound.append(f"{name} (not ready after {START_TIMEOUT_S:g} s)")
         return {"over_time": True}
     finally:
         for child in [c for c in rig.children.running if c.name == name]:
-            await rig.children.end(child, gently=False)
+            await rig.children.end(child, graceful=False)
 
 
-async def step_simulated(rig: Rig) -> list[Point]:
+async def sweep_simulated_gateways(rig: Rig) -> list[Point]:
     """More and more simulated gateways, an ordinary day at each number of them."""
     plan = rig.plan
-    count = min(plan.simulated, max(LEAST_PROCESSES, math.ceil(plan.simulated / PER_PROCESS)))
+    count = min(plan.simulated, max(MIN_PROCESSES, math.ceil(plan.simulated / MAX_GATEWAYS_PER_PROCESS)))
     path, _ = rig.write_config("hollow", plan.servers, plan.routes, plan.tenants, 0, plan.simulated)
     for n in range(count):
-        rig.simulated.append(await rig.children.start(f"hollow-{n}", "lab.simulated_gateways"))
+        rig.simulated_processes.append(await rig.children.start(f"hollow-{n}", "lab.simulated_gateways"))
     points: list[Point] = []
     size = 0
     try:
@@ -104,37 +104,42 @@
         reads = [
             ReadConfig(path=str(path.resolve()), address=address, seed=plan.seed + n) for n in range(count)
         ]
-        rig.simulated_base = sum(await ask_each(rig, reads))
-        for size in sizes(plan.simulated):
+        rig.simulated_base_bytes = sum(await execute_on_each(rig, reads))
+        for size in sweep_sizes(plan.simulated):
             rig.report_progress(f"{size} hollow gateways")
-            points.append(await simulated_point(rig, size, points[-1]["size"] if points else 0))
+            points.append(await measure_simulated_gateways(rig, size, points[-1]["size"] if points else 0))
     except MemoryBoundError as error:
         rig.problems.over_bound.append(f"{size} hollow gateways: {error}")
         points.append({"size": size, "over_bound": True})
-        for child in rig.simulated:
-            await rig.children.end(child, gently=False)
-        rig.simulated.clear()
+        for child in rig.simulated_processes:
+            await rig.children.end(child, graceful=False)
+        rig.simulated_processes.clear()
     return points
 
 
-async def ask_each(rig: Rig, commands: Sequence[Command[Any]]) -> list[Any]:
+async def execute_on_each(rig: Rig, commands: Sequence[Command[Any]]) -> list[Any]:
     """Send each process of simulated gateways its command; returns their answers."""
-    asked = (child.ask(command) for child, command in zip(rig.simulated, commands, strict=True))
-    return list(await asyncio.gather(*asked))
+    pending = (
+        child.execute(command) for child, command in zip(rig.simulated_processes, commands, strict=True)
+    )
+    return list(await asyncio.gather(*pending))
 
 
 async def add_gateways(rig: Rig, size: int, present: int) -> float:
     """Let the simulated gateways be `size` in all; returns how long that took."""
-    plan, count = rig.plan, len(rig.simulated)
-    more = [part(size, count, n) - part(present, count, n) for n in range(count)]
-    began = time.monotonic()
-    firsts = [present + sum(more[:n]) for n in range(count)]
-    adds = [AddGateways(count=c, first=first, seed=plan.seed) for c, first in zip(more, firsts, strict=True)]
-    await ask_each(rig, adds)
-    return time.monotonic() - began
+    plan, count = rig.plan, len(rig.simulated_processes)
+    additions = [fair_share(size, count, n) - fair_share(present, count, n) for n in range(count)]
+    started_s = time.monotonic()
+    firsts = [present + sum(additions[:n]) for n in range(count)]
+    adds = [
+        AddGateways(count=addition, first=first, seed=plan.seed)
+        for addition, first in zip(additions, firsts, strict=True)
+    ]
+    await execute_on_each(rig, adds)
+    return time.monotonic() - started_s
 
 
-async def simulated_point(rig: Rig, size: int, present: int) -> Point:
+async def measure_simulated_gateways(rig: Rig, size: int, present: int) -> Point:
     """The figures of a number of simulated gateways."""
     plan = rig.plan
     add_s = await add_gateways(rig, size, present)
@@ -144,45 +149,46 @@
             rate=plan.simulated_rate,
             routes=plan.routes,
             tenants=plan.tenants,
-            seed=plan.seed + SEEDS_PER_PROCESS * n,
+            seed=plan.seed + SEED_STRIDE * n,
         )
-        for n in range(len(rig.simulated))
+        for n in range(len(rig.simulated_processes))
     ]
-    await ask_each(rig, starts)
+    await execute_on_each(rig, starts)
     seconds = min(STEP_S, plan.seconds)
     churn = [c for c in schedule.churn(plan.seed, "ordinary", plan.servers, seconds) if c[0] < seconds]
-    before = await rig.read()
-    await rig.registry.ask(PlayChanges(changes=churn, start_ns=time.monotonic_ns()))
+    before = await rig.read_counters()
+    await rig.registry.execute(PlayChanges(changes=churn, start_ns=time.monotonic_ns()))
     await asyncio.sleep(seconds)
-    after = await rig.read()
-    await rig.registry.ask(AwaitChanges())
-    await rig.registry.ask(RestoreEndpoints())
+    after = await rig.read_counters()
+    await rig.registry.execute(AwaitChanges())
+    await rig.registry.execute(RestoreEndpoints())
     await asyncio.sleep(SETTLE_S / 2)
     in_force = await measure_in_force(rig)
-    took = after.at - before.at
+    elapsed_s = after.time_s - before.time_s
     sent, sent_before = after.registry["hollow"], before.registry["hollow"]
-    cpu_s = sum(after.cpu_s[child.name] - before.cpu_s[child.name] for child in rig.simulated)
+    cpu_s = sum(after.cpu_s[child.name] - before.cpu_s[child.name] for child in rig.simulated_processes)
     return {
         "size": size,
         "add_s": add_s,
-        "registry_cpu_s_per_s": (after.cpu_s["registry"] - before.cpu_s["registry"]) / took,
-        "registry_bytes_per_s": (sent.bytes - sent_before.bytes) / took,
-        "registry_messages_per_s": (sent.messages - sent_before.messages) / took,
-        "hollow_bytes": sum(child.resident() for child in rig.simulated) - rig.simulated_base,
-        "hollow_cpu_s_per_s": cpu_s / took,
-        "in_force": in_force.hist.summary(),
+        "registry_cpu_s_per_s": (after.cpu_s["registry"] - before.cpu_s["registry"]) / elapsed_s,
+        "registry_bytes_per_s": (sent.bytes - sent_before.bytes) / elapsed_s,
+        "registry_messages_per_s": (sent.messages - sent_before.messages) / elapsed_s,
+        "hollow_bytes": sum(child.resident_bytes() for child in rig.simulated_processes)
+        - rig.simulated_base_bytes,
+        "hollow_cpu_s_per_s": cpu_s / elapsed_s,
+        "in_force": in_force.latency.summary(),
     }
 
 
 async def measure_in_force(rig: Rig) -> InForceRecord:
     """How soon the simulated gateways received what discovery has written since the last call."""
-    changes = await rig.registry.ask(TakeWritten())
-    found = InForceRecord(Hist(), len(changes), 0)
-    asked = (child.ask(MeasureInForce(changes=changes)) for child in rig.simulated)
-    for answer in await asyncio.gather(*asked):
-        found.hist.join(Hist(answer.latency))
-        found.skipped += answer.unseen
-    return found
+    changes = await rig.registry.execute(FetchWrittenChanges())
+    record = InForceRecord(Histogram(), len(changes), 0)
+    pending = (child.execute(MeasureInForce(changes=changes)) for child in rig.simulated_processes)
+    for answer in await asyncio.gather(*pending):
+        record.latency.merge(Histogram(answer.latency))
+        record.skipped += answer.unseen
+    return record
 
 
 async def play_scenario(rig: Rig, name: str) -> ScenarioRecord:
@@ -190,57 +196,57 @@
     plan = rig.plan
     changes = schedule.churn(plan.seed, name, plan.servers, plan.seconds)
     for child in rig.children.running:
-        child.check()
+        child.raise_if_ended()
     await measure_in_force(rig)  # what came before is not this scenario's
     psutil.cpu_percent()
-    before = await rig.read()
+    before = await rig.read_counters()
     start_ns = time.monotonic_ns()
-    await rig.registry.ask(PlayChanges(changes=changes, start_ns=start_ns))
+    await rig.registry.execute(PlayChanges(changes=changes, start_ns=start_ns))
     finish = None
-    if rig.reals:
-        warm_s = min(WARM_S, plan.seconds / 4)
+    if rig.real_gateways:
+        warm_up_s = min(WARM_UP_S, plan.seconds / 4)
         finish = await rig.play_clients(
-            rig.reals, plan.rate, plan.seconds, plan.routes, plan.tenants, warm=warm_s
+            rig.real_gateways, plan.rate, plan.seconds, plan.routes, plan.tenants, warm_up_s=warm_up_s
         )
     probes = await probe_closes(rig, changes, start_ns)
     targets = await finish() if finish is not None else {}
-    await rig.registry.ask(AwaitChanges())
+    await rig.registry.execute(AwaitChanges())
     await asyncio.sleep(SETTLE_S)
-    after = await rig.read()
-    machine = psutil.cpu_percent() / 100
+    after = await rig.read_counters()
+    cpu_share = psutil.cpu_percent() / 100
     check_cores(rig, name, before, after)
     in_force = await measure_in_force(rig)
-    return ScenarioRecord(len(changes), machine, in_force, probes, targets, before, after)
+    return ScenarioRecord(len(changes), cpu_share, in_force, probes, targets, before, after)
 
 
 def check_cores(rig: Rig, name: str, before: Reading, after: Reading) -> None:
     """Note the processes of the rig that took all of a core."""
-    processes = ["registry", "statements", "clients", *(child.name for child in rig.simulated)]
+    processes = ["registry", "statements", "clients", *(child.name for child in rig.simulated_processes)]
     for process in processes:
-        busy = (after.cpu_s[process] - before.cpu_s[process]) / (after.at - before.at)
-        if busy > FULL_CORE:
-            rig.problems.schedule.append(f"{name}: {process} took {busy:.2f} of a core")
+        core_share = (after.cpu_s[process] - before.cpu_s[process]) / (after.time_s - before.time_s)
+        if core_share > FULL_CORE:
+            rig.problems.schedule.append(f"{name}: {process} took {core_share:.2f} of a core")
 
 
-def sizes(most: int) -> list[int]:
+def sweep_sizes(largest: int) -> list[int]:
     """Evenly up to the one asked."""
-    return sorted({max(1, round(most * n / PARTS)) for n in range(1, PARTS + 1)})
+    return sorted({max(1, round(largest * n / SIZES_PER_KIND)) for n in range(1, SIZES_PER_KIND + 1)})
 
 
-def part(total: int, parts: int, number: int) -> int:
+def fair_share(total: int, shares: int, index: int) -> int:
     """A fair part of whole things."""
-    return total // parts + (number < total % parts)
+    return total // shares + (index < total % shares)
 
 
-async def start_reals(rig: Rig) -> None:
+async def start_real_gateways(rig: Rig) -> None:
     """Start the real gateways; without them the run goes on where they are over a bound."""
     try:
-        await rig.start_reals()
+        await rig.start_real_gateways()
     except (MemoryBoundError, TimeoutError) as error:
-        rig.problems.over_bound.append(str(error) or f"real gateways (not ready after {START_S:g} s)")
+        rig.problems.over_bound.append(str(error) or f"real gateways (not ready after {START_TIMEOUT_S:g} s)")
         for child in [c for c in rig.children.running if c.name.startswith("real-")]:
-            await rig.children.end(child, gently=False)
-        rig.reals.clear()
+            await rig.children.end(child, graceful=False)
+        rig.real_gateways.clear()
 
 
 async def play_scenarios(rig: Rig) -> dict[str, ScenarioRecord]:
@@ -258,7 +264,7 @@
 
 async def play(plan: Plan, out: Path, report_progress: ReportProgress) -> dict[str, Any]:
     """The whole run; every child has ended when it returns, also by an exception."""
-    began = time.monotonic()
+    started_s = time.monotonic()
     logs = out / "logs"
     logs.mkdir(parents=True, exist_ok=True)
     async with Children(plan.memory_mb, logs) as children:
@@ -266,7 +272,7 @@
         await rig.open()
         points = await sweep(rig)
         await rig.set_fleet(plan.servers)
-        points["gateways"] = await step_simulated(rig)
-        await start_reals(rig)
+        points["gateways"] = await sweep_simulated_gateways(rig)
+        await start_real_gateways(rig)
         scenarios = await play_scenarios(rig)
-        return result(rig, points, scenarios, time.monotonic() - began)
+        return result(rig, points, scenarios, time.monotonic() - started_s)
--- a/lab/schedule.py
+++ b/lab/schedule.py
@@ -15,12 +15,14 @@
 Ints = NDArray[np.int64]
 Floats = NDArray[np.float64]
 
-SKEW = 1.0  # exponent of the choice of routes and tenants: the first is chosen twice as often as the second
+ZIPF_EXPONENT = (
+    1.0  # exponent of the choice of routes and tenants: the first is chosen twice as often as the second
+)
 
 
-def stream(seed: int, concern: str) -> np.random.Generator:
+def stream(seed: int, purpose: str) -> np.random.Generator:
     """A generator of its own for each concern: drawing more for one changes no other."""
-    return np.random.default_rng([seed, zlib.crc32(concern.encode())])
+    return np.random.default_rng([seed, zlib.crc32(purpose.encode())])
 
 
 def arrivals(rng: np.random.Generator, rate_per_s: float, seconds: float) -> Floats:
@@ -36,8 +38,10 @@
 
 def zipf(rng: np.random.Generator, kinds: int, count: int) -> Ints:
     """`count` numbers below `kinds`; number n is chosen with a weight of (n + 1) ** -SKEW."""
-    total = np.cumsum(np.arange(1, kinds + 1, dtype=np.float64) ** -SKEW)
-    chosen: Ints = np.searchsorted(total, rng.random(count) * total[-1], side="right")
+    cumulative_weights = np.cumsum(np.arange(1, kinds + 1, dtype=np.float64) ** -ZIPF_EXPONENT)
+    chosen: Ints = np.searchsorted(
+        cumulative_weights, rng.random(count) * cumulative_weights[-1], side="right"
+    )
     return chosen.clip(0, kinds - 1)
 
 
@@ -46,13 +50,13 @@
 Change = tuple[float, str, list[int]]
 DRAIN_S = 0.5  # from leaving to left
 DOWN_S = 1.0  # from left to active again
-PLANNED = 2_100  # an ordinary day restarts so many servers, or their part, in a second
-LEAST_PER_S = 4.0  # small fleets restart no less often: enough to measure
-WAVE = 0.02  # share of a zone's servers that a release restarts at once
+RESTART_INTERVAL_S = 2_100  # an ordinary day restarts so many servers, or their part, in a second
+MIN_RESTARTS_PER_S = 4.0  # small fleets restart no less often: enough to measure
+WAVE_SHARE = 0.02  # share of a zone's servers that a release restarts at once
 OUTAGE_SHARE = 0.3  # of the time, discovery is down
 
 
-def restart(at_s: float, servers: list[int]) -> list[Change]:
+def restart_changes(at_s: float, servers: list[int]) -> list[Change]:
     """They drain, leave and start anew."""
     return [
         (at_s, "leaving", servers),
@@ -63,13 +67,13 @@
 
 def ordinary(rng: np.random.Generator, servers: int, seconds: float) -> list[Change]:
     """Single servers are restarted at random; none again before it is back."""
-    free_at = np.zeros(servers)
+    free_at_s = np.zeros(servers)
     changes: list[Change] = []
-    for at_s in arrivals(rng, max(LEAST_PER_S, servers / PLANNED), seconds).tolist():
+    for at_s in arrivals(rng, max(MIN_RESTARTS_PER_S, servers / RESTART_INTERVAL_S), seconds).tolist():
         number = int(rng.integers(servers))
-        if free_at[number] <= at_s:
-            free_at[number] = at_s + 2 * (DRAIN_S + DOWN_S)
-            changes += restart(at_s, [number])
+        if free_at_s[number] <= at_s:
+            free_at_s[number] = at_s + 2 * (DRAIN_S + DOWN_S)
+            changes += restart_changes(at_s, [number])
     return changes
 
 
@@ -78,12 +82,14 @@
     waves: list[list[int]] = []
     for zone in range(len(fleet.ZONES)):
         numbers = rng.permutation(np.arange(zone, servers, len(fleet.ZONES))).tolist()
-        size = max(1, round(len(numbers) * WAVE))
+        size = max(1, round(len(numbers) * WAVE_SHARE))
         waves += [numbers[first : first + size] for first in range(0, len(numbers), size)]
-    return [change for n, wave in enumerate(waves) for change in restart(n * seconds / len(waves), wave)]
+    return [
+        change for n, wave in enumerate(waves) for change in restart_changes(n * seconds / len(waves), wave)
+    ]
 
 
-def _cut(servers: list[int], seconds: float) -> list[Change]:
+def _fail_together(servers: list[int], seconds: float) -> list[Change]:
     """They are gone at once and without a word, and return together."""
     return [(seconds * 0.2, "left", servers), (seconds * 0.6, "active", servers)] if servers else []
 
@@ -91,25 +97,25 @@
 def rack(rng: np.random.Generator, servers: int, seconds: float) -> list[Change]:
     """The servers of one rack."""
     chosen = fleet.rack_of(int(rng.integers(servers)))
-    return _cut([n for n in range(servers) if fleet.rack_of(n) == chosen], seconds)
+    return _fail_together([n for n in range(servers) if fleet.rack_of(n) == chosen], seconds)
 
 
 def zone(rng: np.random.Generator, servers: int, seconds: float) -> list[Change]:
     """The servers of one zone."""
     chosen = str(rng.choice(fleet.ZONES))
-    return _cut([n for n in range(servers) if fleet.zone_of(n) == chosen], seconds)
+    return _fail_together([n for n in range(servers) if fleet.zone_of(n) == chosen], seconds)
 
 
 def region(rng: np.random.Generator, servers: int, seconds: float) -> list[Change]:
     """The servers of one region."""
     chosen = fleet.REGIONS[str(rng.choice(list(fleet.REGIONS)))]
-    return _cut([n for n in range(servers) if fleet.zone_of(n) in chosen], seconds)
+    return _fail_together([n for n in range(servers) if fleet.zone_of(n) in chosen], seconds)
 
 
 def outage(rng: np.random.Generator, servers: int, seconds: float) -> list[Change]:
     """Discovery is down for a while amid an ordinary day, and all gateways return to it together."""
-    down: list[Change] = [(seconds * 0.2, "down", []), (seconds * (0.2 + OUTAGE_SHARE), "up", [])]
-    return ordinary(rng, servers, seconds) + down
+    outage_changes: list[Change] = [(seconds * 0.2, "down", []), (seconds * (0.2 + OUTAGE_SHARE), "up", [])]
+    return ordinary(rng, servers, seconds) + outage_changes
 
 
 SCENARIOS: dict[str, Callable[[np.random.Generator, int, float], list[Change]]] = {
@@ -139,10 +145,10 @@
 
 
 def requests(
-    seed: int, concern: str, rate_per_s: float, seconds: float, routes: int, tenants: int, targets: int
+    seed: int, purpose: str, rate_per_s: float, seconds: float, routes: int, tenants: int, targets: int
 ) -> RequestSchedule:
     """Requests at random times, routes and tenants, as `concern` has them with this seed."""
-    rng = stream(seed, concern)
+    rng = stream(seed, purpose)
     times = arrivals(rng, rate_per_s, seconds)
     return RequestSchedule(
         times.tolist(),
--- a/lab/simulated_gateways.py
+++ b/lab/simulated_gateways.py
@@ -18,7 +18,7 @@
 import psutil
 
 from lab import fleet, schedule
-from lab.child import Handler, Hist, serve
+from lab.child import Handler, Histogram, serve
 from lab.gateway_messages import (
     AddGateways,
     InForce,
@@ -84,10 +84,10 @@
             if self.lists:
                 return
         else:
-            self.pool.list_time.add((time.perf_counter_ns() - began) / 1e3)
+            self.pool.list_time.record((time.perf_counter_ns() - began) / 1e3)
         self.lists += 1
         if self.lists == 1:  # the list as last held, which the real gateway calls ready
-            self.pool.ready.add((done_ns - self.began_ns) / 1e3)
+            self.pool.ready.record((done_ns - self.began_ns) / 1e3)
             return
         for server in event.endpoints if event.kind is ListKind.DELTA else ():
             key = (server.id, server.status.value, server.started_us)
@@ -161,9 +161,9 @@
         self.gateways: list[SimulatedGateway] = []
         self.config: Config | None = None
         self.received: dict[KnownChange, list[int]] = {}
-        self.ready = Hist()
-        self.list_time = Hist()
-        self.late = Hist()
+        self.ready = Histogram()
+        self.list_time = Histogram()
+        self.late = Histogram()
         self.counts = dict.fromkeys(("asked", "sent", "served", "refused", "failed"), 0)
         self.spent_ns = 0
         self.draws: list[tuple[float, Outcome]] = []
@@ -214,7 +214,7 @@
                 wait_s = start + part * PLANNED_S + at_s - time.monotonic()
                 if wait_s > 0:
                     await asyncio.sleep(wait_s)
-                self.late.add((time.monotonic() - start - part * PLANNED_S - at_s) * 1e6)
+                self.late.record((time.monotonic() - start - part * PLANNED_S - at_s) * 1e6)
                 self.counts["asked"] += 1
                 began = time.perf_counter_ns()
                 self.gateways[target].deliver(
@@ -232,16 +232,16 @@
 
     def measure_in_force(self, changes: list[WrittenChange]) -> InForce:
         """From each change at discovery to its being in force, over all gateways here."""
-        hist = Hist()
+        hist = Histogram()
         unseen = 0
         for change in changes:
             key = (change.endpoint_id, change.status, change.started_us)
             received = self.received.get(key, ())
             for done_ns in received:
-                hist.add((done_ns - change.written_ns) / 1e3)
+                hist.record((done_ns - change.written_ns) / 1e3)
             unseen += max(0, len(self.gateways) - len(received))
         self.received.clear()
-        return InForce(hist.text(), unseen)
+        return InForce(hist.encode(), unseen)
 
     async def stop_requests(self) -> None:
         """Send no more requests; raises what has ended them before."""
@@ -282,9 +282,9 @@
             self.requests.result()
         return PoolStats(
             gateways=len(self.gateways),
-            ready=self.ready.text(),
-            list_read=self.list_time.text(),
-            late=self.late.text(),
+            ready=self.ready.encode(),
+            list_read=self.list_time.encode(),
+            late=self.late.encode(),
             counts=self.counts,
             spent_ns=self.spent_ns,
         )
--- a/lab/stalls.py
+++ b/lab/stalls.py
@@ -5,7 +5,7 @@
 import time
 from typing import TypeVar
 
-from lab.child import Hist
+from lab.child import Histogram
 from lab.gateway_messages import StepCost
 from load_balancer.config.steps import Steps
 
@@ -24,14 +24,14 @@
     """
 
     def __init__(self) -> None:
-        self.hists: dict[str, Hist] = {}
+        self.hists: dict[str, Histogram] = {}
         self.longest: dict[str, tuple[float, int]] = {}  # processor's milliseconds, and which step it was
         self.began = (0, 0)
 
     def note(self, name: str, began: tuple[int, int], step: int = 0) -> None:
         """Record a step that has begun at a time and ends now."""
         done = now()
-        self.hists.setdefault(name, Hist()).add((done[0] - began[0]) / 1e3)
+        self.hists.setdefault(name, Histogram()).record((done[0] - began[0]) / 1e3)
         self.longest[name] = max(self.longest.get(name, (0.0, 0)), ((done[1] - began[1]) / 1e6, step))
 
     def take(self, name: str, steps: Steps[T]) -> T:
@@ -59,13 +59,13 @@
         """The cost of each kind of step, by its name."""
         return {name: self._cost(name, hist) for name, hist in self.hists.items()}
 
-    def _cost(self, name: str, hist: Hist) -> StepCost:
+    def _cost(self, name: str, hist: Histogram) -> StepCost:
         most_cpu_ms, step = self.longest[name]
         return StepCost(
             count=hist.count,
-            p50_ms=hist.at(50),
-            p99_ms=hist.at(99),
-            most_ms=hist.at(100),
+            p50_ms=hist.percentile_ms(50),
+            p99_ms=hist.percentile_ms(99),
+            most_ms=hist.percentile_ms(100),
             most_cpu_ms=most_cpu_ms,
             step=step,
         )
--- a/lab/statements.py
+++ b/lab/statements.py
@@ -16,38 +16,38 @@
 import httptools
 
 from lab import fleet, schedule
-from lab.child import Handler, Hist, serve
+from lab.child import Handler, Histogram, serve
 from lab.messages import (
     Closes,
-    ListenForStatements,
+    EndpointCommand,
+    EndpointCounters,
+    EndpointStats,
     ListIdle,
     ReadCloses,
-    ReadStatementStats,
-    StatementCommand,
-    StatementCounters,
-    StatementStats,
+    ReadEndpointStats,
+    StartEndpoints,
     WatchIdle,
 )
 
 REQUEST_ID = re.compile(rb"[0-9a-f]{16}")
-SERVICE_S = 0.005
+MEAN_SERVICE_S = 0.005
 TARGETS = ("gateway", "direct")
-IDLE_FOR_S = 0.05  # a connection that a probe may count on rests for so long
-SWEEP_S = 1.0
-DRAWS = 4096
+MIN_IDLE_S = 0.05  # a connection that a probe may count on rests for so long
+EXPIRY_CHECK_INTERVAL_S = 1.0
+SERVICE_TIME_COUNT = 4096
 
 
-class Connection(asyncio.Protocol):
+class EndpointConnection(asyncio.Protocol):
     """One connection to a statement server."""
 
-    def __init__(self, servers: StatementServers, target: str) -> None:
-        self.servers = servers
+    def __init__(self, endpoints: StandInEndpoints, target: str) -> None:
+        self.endpoints = endpoints
         self.target = target
         self.parser = httptools.HttpRequestParser(self)
         self.transport: asyncio.Transport | None = None
-        self.server = 0
+        self.endpoint_number = 0
         self.busy = False
-        self.quiet_ns = time.monotonic_ns()  # since the last answer
+        self.idle_since_ns = time.monotonic_ns()  # since the last answer
         self.closed_ns = 0
         self.url = b""
         self.headers: dict[bytes, bytes] = {}
@@ -55,15 +55,15 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """See asyncio.Protocol."""
         self.transport = cast(asyncio.Transport, transport)
-        self.server = fleet.number_of(self.transport.get_extra_info("sockname")[0])
-        self.servers.connections[self.target].add(self)
-        self.servers.stats[self.target]["connections"] += 1
+        self.endpoint_number = fleet.server_number(self.transport.get_extra_info("sockname")[0])
+        self.endpoints.connections[self.target].add(self)
+        self.endpoints.stats[self.target]["connections"] += 1
 
     def connection_lost(self, _exc: Exception | None) -> None:
         """See asyncio.Protocol."""
         self.closed_ns = time.monotonic_ns()
         self.transport = None
-        self.servers.connections[self.target].discard(self)
+        self.endpoints.connections[self.target].discard(self)
 
     def eof_received(self) -> bool:
         """See asyncio.Protocol."""
@@ -71,7 +71,7 @@
 
     def data_received(self, data: bytes) -> None:
         """See asyncio.Protocol."""
-        self.servers.stats[self.target]["bytes"] += len(data)
+        self.endpoints.stats[self.target]["bytes"] += len(data)
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
@@ -92,38 +92,40 @@
 
     def on_message_complete(self) -> None:
         """See httptools."""
-        stats = self.servers.stats[self.target]
-        number = self.headers.get(b"request-id", b"")
+        stats = self.endpoints.stats[self.target]
+        request_id = self.headers.get(b"request-id", b"")
         if self.busy:  # one request at a time
             stats["bad"] += 1
             self.abort()
-        elif not number:  # probes too: the settings allow none
+        elif not request_id:  # probes too: the settings allow none
             self.answer(404, b"")
-        elif not REQUEST_ID.fullmatch(number):
+        elif not REQUEST_ID.fullmatch(request_id):
             stats["bad"] += 1
             self.answer(400, b"")
         else:
             stats["requests"] += 1
             self.busy = True
-            wait_s = self.servers.service_s(number)
-            self.servers.loop.call_later(wait_s, self.serve, number, time.monotonic() + wait_s)
+            wait_s = self.endpoints.service_s(request_id)
+            self.endpoints.loop.call_later(wait_s, self.serve, request_id, time.monotonic() + wait_s)
 
-    def serve(self, number: bytes, due: float) -> None:
+    def serve(self, request_id: bytes, due_s: float) -> None:
         """Answer a request once its service time is over."""
-        self.servers.late.add((time.monotonic() - due) * 1e6)
+        self.endpoints.late.record((time.monotonic() - due_s) * 1e6)
         self.busy = False
-        self.answer(200, b"%b %b\n" % (number, self.url.partition(b"?")[0]))
+        self.answer(200, b"%b %b\n" % (request_id, self.url.partition(b"?")[0]))
 
     def answer(self, status: int, body: bytes) -> None:
         """Send an answer, with a load report where it is a success."""
         if self.transport is None or self.transport.is_closing():
             return
         report = (
-            b"Server-Load: latency_ms=%.1f,eps=0,queue=0\r\n" % (SERVICE_S * 1e3) if status == 200 else b""
+            b"Server-Load: latency_ms=%.1f,eps=0,queue=0\r\n" % (MEAN_SERVICE_S * 1e3)
+            if status == 200
+            else b""
         )
         data = b"HTTP/1.1 %d Any\r\n%bContent-Length: %d\r\n\r\n%b" % (status, report, len(body), body)
-        self.servers.stats[self.target]["bytes"] += len(data)
-        self.quiet_ns = time.monotonic_ns()
+        self.endpoints.stats[self.target]["bytes"] += len(data)
+        self.idle_since_ns = time.monotonic_ns()
         self.transport.write(data)
 
     def abort(self) -> None:
@@ -132,54 +134,56 @@
             self.transport.abort()
 
 
-class StatementServers:
+class StandInEndpoints:
     """All statement servers, and their connections by target: through gateways, and straight."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
-        self.connections: dict[str, set[Connection]] = {target: set() for target in TARGETS}
+        self.connections: dict[str, set[EndpointConnection]] = {target: set() for target in TARGETS}
         self.stats = {
             target: dict.fromkeys(("requests", "connections", "bytes", "bad"), 0) for target in TARGETS
         }
-        self.late = Hist()
-        self.watched: dict[int, list[Connection]] = {}  # by server: idle there when a probe began
-        self.draws: list[float] = [SERVICE_S]
+        self.late = Histogram()
+        self.watched: dict[int, list[EndpointConnection]] = {}  # by server: idle there when a probe began
+        self.service_times_s: list[float] = [MEAN_SERVICE_S]
         self.listeners: list[asyncio.Server] = []
 
-    def service_s(self, number: bytes) -> float:
+    def service_s(self, request_id: bytes) -> float:
         """By the request's id, of which two neighbours are one request: through a gateway and straight."""
-        return self.draws[(int(number, 16) >> 1) % len(self.draws)]
+        return self.service_times_s[(int(request_id, 16) >> 1) % len(self.service_times_s)]
 
     async def listen(self, seed: int) -> dict[str, int]:
         """Listen; returns the ports by target."""
         rng = schedule.stream(seed, "service")
-        self.draws = (SERVICE_S * (0.5 + rng.gamma(4.0, 0.125, DRAWS))).tolist()
+        self.service_times_s = (MEAN_SERVICE_S * (0.5 + rng.gamma(4.0, 0.125, SERVICE_TIME_COUNT))).tolist()
         ports = {}
         for target in TARGETS:
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_BINDTODEVICE, b"lo")
             sock.bind(("", 0))
-            made = partial(Connection, self, target)
-            self.listeners.append(await self.loop.create_server(made, sock=sock, backlog=1024))
+            create_connection = partial(EndpointConnection, self, target)
+            self.listeners.append(await self.loop.create_server(create_connection, sock=sock, backlog=1024))
             ports[target] = sock.getsockname()[1]
-        self.loop.call_later(SWEEP_S, self.sweep)
+        self.loop.call_later(EXPIRY_CHECK_INTERVAL_S, self.close_expired)
         return ports
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         """Close connections that have been idle for too long, now and again."""
         oldest_ns = time.monotonic_ns() - fleet.KEEPALIVE_US * 1000
         for target in TARGETS:
-            for connection in [c for c in self.connections[target] if not c.busy and c.quiet_ns < oldest_ns]:
+            for connection in [
+                c for c in self.connections[target] if not c.busy and c.idle_since_ns < oldest_ns
+            ]:
                 connection.abort()
-        self.loop.call_later(SWEEP_S, self.sweep)
+        self.loop.call_later(EXPIRY_CHECK_INTERVAL_S, self.close_expired)
 
-    def idle(self) -> dict[int, list[Connection]]:
+    def idle_connections(self) -> dict[int, list[EndpointConnection]]:
         """Idle connections of gateways, by server."""
-        idle: dict[int, list[Connection]] = {}
-        before_ns = time.monotonic_ns() - int(IDLE_FOR_S * 1e9)
+        idle: dict[int, list[EndpointConnection]] = {}
+        before_ns = time.monotonic_ns() - int(MIN_IDLE_S * 1e9)
         for connection in self.connections["gateway"]:
-            if not connection.busy and connection.quiet_ns < before_ns:
-                idle.setdefault(connection.server, []).append(connection)
+            if not connection.busy and connection.idle_since_ns < before_ns:
+                idle.setdefault(connection.endpoint_number, []).append(connection)
         return idle
 
     def closes(self, endpoint: int, since_ns: int) -> Closes:
@@ -192,29 +196,31 @@
         after_us = [(at_ns - since_ns) / 1e3 for at_ns in closed if at_ns >= since_ns]
         return Closes(after_us, len(watched) - len(closed))
 
-    async def handle(self, command: StatementCommand) -> Any:
+    async def handle(self, command: EndpointCommand) -> Any:
         """Carry out a command; returns its answer."""
         match command:
-            case ListenForStatements():
+            case StartEndpoints():
                 return await self.listen(command.seed)
             case ListIdle():
-                return sorted((server, len(found)) for server, found in self.idle().items())
+                return sorted(
+                    (endpoint, len(connections)) for endpoint, connections in self.idle_connections().items()
+                )
             case WatchIdle():
-                self.watched[command.endpoint] = self.idle().get(command.endpoint, [])
+                self.watched[command.endpoint] = self.idle_connections().get(command.endpoint, [])
                 return len(self.watched[command.endpoint])
             case ReadCloses():
                 return self.closes(command.endpoint, command.since_ns)
-            case ReadStatementStats():
-                counters = {target: StatementCounters(**stats) for target, stats in self.stats.items()}
-                return StatementStats(self.late.text(), counters)
+            case ReadEndpointStats():
+                counters = {target: EndpointCounters(**stats) for target, stats in self.stats.items()}
+                return EndpointStats(self.late.encode(), counters)
             case _:
                 assert_never(command)
 
 
-def create_handler() -> Handler[StatementCommand]:
+def create_handler() -> Handler[EndpointCommand]:
     """The handler of commands, on the running event loop."""
-    return StatementServers(asyncio.get_running_loop()).handle
+    return StandInEndpoints(asyncio.get_running_loop()).handle
 
 
 if __name__ == "__main__":
-    serve(create_handler, StatementCommand)
+    serve(create_handler, EndpointCommand)
--- a/lab/up.py
+++ b/lab/up.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from lab.messages import Address, ListenForCalls, ListenForStatements, SetFleet
+from lab.messages import Address, SetFleet, StartDiscovery, StartEndpoints
 from lab.processes import ROOT, Child, Children
 from lab.rig import ReportProgress, is_ready
 
@@ -34,16 +34,16 @@
     async with Children(MEMORY_MB, folder) as children:
         registry = await children.start("registry", "lab.registry")
         statements = await children.start("statements", "lab.statements")
-        discovery = (await registry.ask(ListenForCalls()))["real"]
-        port = (await statements.ask(ListenForStatements(seed=1)))["gateway"]
-        await registry.ask(SetFleet(endpoints=SERVERS, port=port))
+        discovery = (await registry.execute(StartDiscovery()))["real"]
+        port = (await statements.execute(StartEndpoints(seed=1)))["gateway"]
+        await registry.execute(SetFleet(endpoints=SERVERS, port=port))
         starting = [start(children, folder, raw, discovery, number) for number in range(GATEWAYS)]
         gateways = await asyncio.gather(*starting)
         say(curl(gateways[0][1], raw["settings"]))
         try:
             while True:
                 for child in children.running:
-                    child.check()
+                    child.raise_if_ended()
                 await asyncio.sleep(POLL_S)
         finally:
             await asyncio.gather(*(child.end() for child, _ in gateways))
@@ -64,7 +64,7 @@
     child = await children.start(name, "load_balancer", ROUTER_CONFIG=str(path))
     async with asyncio.timeout(START_S):
         while not await is_ready(host, port):
-            child.check()
+            child.raise_if_ended()
             await asyncio.sleep(POLL_S)
     return child, (host, port)
 
--- a/tests/lab/test_changes.py
+++ b/tests/lab/test_changes.py
@@ -22,6 +22,6 @@
         found = json.loads(path.read_text())
         new = {tenant["name"] for tenant in found["settings"].pop("tenants")}
         new -= {tenant["name"] for tenant in settings["tenants"]}
-        assert new == ({fleet.tenant(change.number)} if change.added else set())
+        assert new == ({fleet.tenant_name(change.number)} if change.added else set())
         assert before is None or before.added != change.added
         assert found["settings"] == {k: v for k, v in settings.items() if k != "tenants"}
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -24,7 +24,7 @@
 )
 
 
-def command(out: Path, *more: str) -> subprocess.Popen[str]:
+def start_scale_run(out: Path, *more: str) -> subprocess.Popen[str]:
     return subprocess.Popen(
         [
             sys.executable,
@@ -44,15 +44,15 @@
     )
 
 
-def test_a_tiny_run_goes_through(tmp_path: Path) -> None:
-    with command(tmp_path, "--late-ms=1000") as child:
+def test_a_tiny_run_keeps_its_schedule_and_has_all_figures(tmp_path: Path) -> None:
+    with start_scale_run(tmp_path, "--late-ms=1000") as child:
         out, err = child.communicate(timeout=110)
     assert child.returncode == 0, err + out
-    found: dict[str, Any] = json.loads((tmp_path / "result.json").read_text())
-    figures = found["figures"]
-    assert found["schedule"]["kept"]
-    assert not found["broken"]
-    assert not found["over_bound"]
+    result: dict[str, Any] = json.loads((tmp_path / "result.json").read_text())
+    figures = result["figures"]
+    assert result["schedule"]["kept"]
+    assert not result["broken"]
+    assert not result["over_bound"]
     assert set(figures["roles"]) == {"registry", "statements", "clients", "gateway", "hollow"}
     assert figures["roles"]["gateway"]["added"]["gateway"]["count"] > 0
     assert figures["roles"]["hollow"]["in_force"]["count"] > 0
@@ -61,14 +61,14 @@
         assert all(figures["slopes"][kind].values())
 
 
-@pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM])
-def test_an_interrupted_run_ends_its_children(number: signal.Signals, tmp_path: Path) -> None:
+@pytest.mark.parametrize("signal_number", [signal.SIGINT, signal.SIGTERM])
+def test_an_interrupted_run_ends_its_children(signal_number: signal.Signals, tmp_path: Path) -> None:
     """The first line of progress comes once the stand-ins are up."""
-    with command(tmp_path) as child:
+    with start_scale_run(tmp_path) as child:
         assert child.stderr is not None
         assert child.stderr.readline()
         children = psutil.Process(child.pid).children(recursive=True)
-        os.kill(child.pid, number)
+        os.kill(child.pid, signal_number)
         _, err = child.communicate(timeout=60)
     assert child.returncode == 130
     assert "interrupted" in err.splitlines()[-1]
