--- a/lab/model/actions.py
+++ b/lab/model/actions.py
@@ -45,7 +45,7 @@
         seed: int,
     ) -> None:
         self._clock = clock
-        self._delay_ms = scenario.network.message_ms
+        self._delay_ms = scenario.network.peer_message_ms
         self._network = network
         self._gateways = gateways
         self._record = record
--- a/lab/model/attempts.py
+++ b/lab/model/attempts.py
@@ -18,7 +18,7 @@
 from lab.model.rules import Rule, Rules
 from lab.model.run_record import RunRecord
 from lab.model.scenario import Scenario
-from lab.model.workload import ATTEMPTS, Workload
+from lab.model.workload import LOSS_DRAWS_PER_REQUEST, Workload
 from load_balancer.decisions.actions import Cancel, Send
 from load_balancer.decisions.events import AttemptEnded, Outcome
 
@@ -116,7 +116,7 @@
         if self._is_lost(request, attempt, leg=0):
             self._clock.call_at(now_us + delay_us, end, Outcome.RESET)
             return
-        row = request.client_request
+        row = request.workload_row
         attempt.job = Job(
             self._workload.work_us[row],
             self._terms.handshake_ms * 1e3 if idle is None else 0.0,
@@ -150,7 +150,7 @@
         self._record.costs["handshakes"] += 1
         if not self._network.reaches_endpoint(gateway.zone, endpoint):
             failed_after_us = self._connect_timeout_us
-        elif not endpoint.up or endpoint.connections >= self._terms.connections:
+        elif not endpoint.up or endpoint.connections >= self._terms.max_connections:
             failed_after_us = 2 * self._network.delay_us(gateway.zone, endpoint)
         else:
             endpoint.connections += 1
@@ -162,8 +162,8 @@
     def _is_lost(self, request: GatewayRequest, attempt: Attempt, leg: int) -> bool:
         """Whether a request (leg 0) or its answer (leg 1) is lost."""
         drawn = request.try_number * ATTEMPTS_PER_TRY + request.attempts.index(attempt)
-        column = drawn % ATTEMPTS * 2 + leg
-        return bool(self._workload.loss[request.client_request, column] < self._network.loss)
+        column = drawn % LOSS_DRAWS_PER_REQUEST * 2 + leg
+        return bool(self._workload.loss_draws[request.workload_row, column] < self._network.loss)
 
     def _arrive(
         self, gateway: ModelGateway, endpoint: ModelEndpoint, attempt: Attempt, end: EndAttempt
@@ -174,7 +174,7 @@
         if attempt.connection_epoch != endpoint.epoch:
             self._return_reset(gateway, endpoint, end)
             return
-        endpoint.take(attempt.job)
+        endpoint.accept(attempt.job)
 
     def _return_reset(self, gateway: ModelGateway, endpoint: ModelEndpoint, end: EndAttempt) -> None:
         """The process at the other end has gone."""
@@ -234,4 +234,4 @@
         reached = self._network.reaches_endpoint(gateway.zone, endpoint)
         if outcome not in REUSABLE and attempt.job is not None and reached:
             delay_us = self._network.delay_us(gateway.zone, endpoint)
-            self._clock.call_at(self._clock.now_us + delay_us, endpoint.drop, attempt.job)
+            self._clock.call_at(self._clock.now_us + delay_us, endpoint.cancel, attempt.job)
--- a/lab/model/clients.py
+++ b/lab/model/clients.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from lab.model.engine import Clock, to_us
-from lab.model.front import FrontLayer
 from lab.model.gateway import ModelGateway
+from lab.model.ingress import Ingress
 from lab.model.requests import GatewayRequest, RequestEnd
 from lab.model.rules import Rules
 from lab.model.run_record import RunRecord
@@ -13,7 +13,7 @@
 from load_balancer.decisions.events import ClientDisconnected, RequestArrived
 from load_balancer.decisions.settings import DeduplicationScope
 
-NEVER_RAN = (RequestEnd.REFUSED, RequestEnd.UNREACHABLE)
+NOT_EXECUTED = (RequestEnd.REFUSED, RequestEnd.UNREACHABLE)
 
 
 class Clients:
@@ -25,7 +25,7 @@
         traffic: Traffic,
         terms: ClientTerms,
         workload: Workload,
-        front: FrontLayer,
+        ingress: Ingress,
         rules: Rules,
         record: RunRecord,
     ) -> None:
@@ -33,14 +33,14 @@
         self._traffic = traffic
         self._terms = terms
         self._workload = workload
-        self._front = front
+        self._ingress = ingress
         self._rules = rules
         self._record = record
 
     def start(self) -> None:
         """Schedule the first try of every request."""
-        for client_request, at_us in enumerate(self._workload.times_us):
-            self._clock.call_at(at_us, self._send, client_request, 0)
+        for workload_row, arrival_us in enumerate(self._workload.times_us):
+            self._clock.call_at(arrival_us, self._send, workload_row, 0)
 
     def finish(self, request: GatewayRequest, end: RequestEnd, retry_after_us: int = 0) -> None:
         """End a try; whether its client retries depends on the request's class.
@@ -51,68 +51,68 @@
             retry_after_us: How long a refusal asks the client to stay away.
         """
         request.finished = True
-        row, now_us = request.client_request, self._clock.now_us
+        row, now_us = request.workload_row, self._clock.now_us
         self._record.ends[row] = end
-        used_us = now_us - self._workload.times_us[row]
+        elapsed_us = now_us - self._workload.times_us[row]
         if end is RequestEnd.SERVED:
-            self._record.latency_us[row] = used_us
+            self._record.latency_us[row] = elapsed_us
             return
-        wait_us = round(self._workload.backoff_us[row, request.try_number])
-        wait_us = max(wait_us, retry_after_us * self._terms.honor_retry_after)
-        in_time = used_us + wait_us < request.request_class.timeout_ms * 1e3
-        if in_time and request.try_number < self._terms.retries and self._may_retry(request, end, used_us):
-            self._clock.call_at(now_us + wait_us, self._send, row, request.try_number + 1)
+        delay_us = round(self._workload.backoff_us[row, request.try_number])
+        delay_us = max(delay_us, retry_after_us * self._terms.honor_retry_after)
+        in_time = elapsed_us + delay_us < request.request_class.timeout_ms * 1e3
+        if in_time and request.try_number < self._terms.retries and self._may_retry(request, end, elapsed_us):
+            self._clock.call_at(now_us + delay_us, self._send, row, request.try_number + 1)
 
-    def _may_retry(self, request: GatewayRequest, end: RequestEnd, used_us: int) -> bool:
+    def _may_retry(self, request: GatewayRequest, end: RequestEnd, elapsed_us: int) -> bool:
         terms = request.request_class
-        if end in NEVER_RAN or terms.effect is Effect.IDEMPOTENT:
+        if end in NOT_EXECUTED or terms.effect is Effect.IDEMPOTENT:
             return True
         deduplicated = terms.effect is Effect.IDEMPOTENCY_KEY and terms.scope is DeduplicationScope.ALL
-        return deduplicated and used_us < to_us(terms.window_s)
+        return deduplicated and elapsed_us < to_us(terms.window_s)
 
     def _send(self, row: int, try_number: int) -> None:
         """Send a try to the gateway that the front layer chooses."""
         workload, now_us = self._workload, self._clock.now_us
         request_class = self._traffic.classes[workload.request_class[row]]
-        gateway = self._front.choose(workload.zone[row], workload.front[row, try_number])
-        patience_us = round(workload.patience[row, try_number] * request_class.timeout_ms * 1e3)
-        left_us = workload.times_us[row] + to_us(request_class.timeout_ms / 1e3) - now_us
-        patience_us = min(patience_us, left_us)
+        gateway = self._ingress.choose(workload.zone[row], workload.gateway_draws[row, try_number])
+        timeout_us = round(workload.try_timeout_share[row, try_number] * request_class.timeout_ms * 1e3)
+        remaining_us = workload.times_us[row] + to_us(request_class.timeout_ms / 1e3) - now_us
+        timeout_us = min(timeout_us, remaining_us)
         request = GatewayRequest(
             f"r{row}-{try_number}",
             row,
             try_number,
             gateway.index if gateway is not None else -1,
             request_class,
-            now_us + patience_us,
+            now_us + timeout_us,
         )
         if gateway is None or not gateway.up:
             self.finish(request, RequestEnd.UNREACHABLE)
-        elif patience_us > 0:
-            self._deliver(gateway, request, patience_us)
+        elif timeout_us > 0:
+            self._deliver(gateway, request, timeout_us)
 
-    def _deliver(self, gateway: ModelGateway, request: GatewayRequest, patience_us: int) -> None:
-        workload, row = self._workload, request.client_request
+    def _deliver(self, gateway: ModelGateway, request: GatewayRequest, timeout_us: int) -> None:
+        workload, row = self._workload, request.workload_row
         gateway.requests[request.id] = request
-        overdue_us = request.deadline_us + gateway.settings.answer_slack_us + 1
-        self._clock.call_at(overdue_us, self._give_up, gateway, request)
-        patience_share = workload.disconnect[row, request.try_number]
-        if patience_share < 1.0:
-            leaves_us = self._clock.now_us + round(patience_share * patience_us)
-            self._clock.call_at(leaves_us, self._disconnect, gateway, request)
+        overdue_at_us = request.deadline_us + gateway.settings.answer_slack_us + 1
+        self._clock.call_at(overdue_at_us, self._expire, gateway, request)
+        disconnect_share = workload.disconnect_shares[row, request.try_number]
+        if disconnect_share < 1.0:
+            disconnect_at_us = self._clock.now_us + round(disconnect_share * timeout_us)
+            self._clock.call_at(disconnect_at_us, self._disconnect, gateway, request)
         self._record.costs["tries"] += 1
         gateway.deliver(
             RequestArrived(
                 request.id,
                 workload.request_class[row],
-                patience_us,
+                timeout_us,
                 work_us=workload.hint_us[row],
                 is_retry=request.try_number > 0,
                 tenant=workload.tenant[row],
             )
         )
 
-    def _give_up(self, gateway: ModelGateway, request: GatewayRequest) -> None:
+    def _expire(self, gateway: ModelGateway, request: GatewayRequest) -> None:
         if request.finished:
             return
         self._rules.report_overdue(request)
--- /dev/null
+++ b/lab/model/congestion.py
@@ -0,0 +1,66 @@
+"""Endpoints that choke after a time with a long queue."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from lab.model.engine import Clock, to_us
+from lab.model.scenario import Congestion
+
+
+class CongestionState:
+    """Whether an endpoint chokes: it does after a time with a long queue, until it has rested."""
+
+    def __init__(self, clock: Clock, terms: Congestion, cores: int, on_recovered: Callable[[], None]) -> None:
+        self.congested = False
+        self.count = 0  # spells so far
+        self._clock = clock
+        self._terms = terms
+        self._cores = cores
+        self._on_recovered = on_recovered
+        self._epoch = 0
+        self._long_queue_since_us: int | None = None
+        self._idle_since_us: int | None = None  # while it is choked
+
+    def reset(self) -> None:
+        """A new process has begun; what was scheduled for the last one is void."""
+        self._epoch += 1
+        self._clear()
+
+    def update(self, queued: int, running: int) -> None:
+        """Begin, or end, the times after which it chokes or recovers."""
+        now_us = self._clock.now_us
+        if queued <= self._terms.queued_per_core * self._cores:
+            self._long_queue_since_us = None
+        elif self._long_queue_since_us is None and not self.congested:
+            self._long_queue_since_us = now_us
+            due_us = now_us + to_us(self._terms.after_s)
+            self._clock.call_at(due_us, self._end_long_queue, self._epoch, now_us)
+        if queued or 2 * running > self._cores:
+            self._idle_since_us = None
+        elif self._idle_since_us is None and self.congested:
+            self._idle_since_us = now_us
+            due_us = now_us + to_us(self._terms.recovery_idle_s)
+            self._clock.call_at(due_us, self._end_idle, self._epoch, now_us)
+
+    def _clear(self) -> None:
+        self.congested = False
+        self._idle_since_us = None
+        self._long_queue_since_us = None
+
+    def _end_long_queue(self, epoch: int, since_us: int) -> None:
+        if epoch == self._epoch and self._long_queue_since_us == since_us and not self.congested:
+            self.congested = True
+            self._long_queue_since_us = None
+            self.count += 1
+            due_us = self._clock.now_us + to_us(self._terms.max_duration_s)
+            self._clock.call_at(due_us, self._recover, epoch, self.count)
+
+    def _end_idle(self, epoch: int, since_us: int) -> None:
+        if epoch == self._epoch and self._idle_since_us == since_us:
+            self._recover(epoch, self.count)
+
+    def _recover(self, epoch: int, number: int) -> None:
+        if epoch == self._epoch and number == self.count:
+            self._clear()
+            self._on_recovered()
--- a/lab/model/endpoint.py
+++ b/lab/model/endpoint.py
@@ -5,7 +5,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from lab.model.choke import ChokeState
+from lab.model.congestion import CongestionState
 from lab.model.engine import Clock, to_us
 from lab.model.job import Job, JobState, LoadReport
 from lab.model.load_report import LoadReporter
@@ -46,43 +46,47 @@
         self._terms = terms
         self._speed = speed
         self._cores = terms.machines[kind].cores
-        self._choke = ChokeState(clock, terms.choke, self._cores, self._update_choke)
-        self._overload = OverloadWindow(terms.cold, mean_work_us, self._cores, speed)
+        self._congestion = CongestionState(clock, terms.congestion, self._cores, self._update_congestion)
+        self._overload = OverloadWindow(terms.warm_up, mean_work_us, self._cores, speed)
         self._begin_process()
 
     def _begin_process(self) -> None:
         self.queue: deque[Job] = deque()
-        self.waiting = 0  # of the queue, without those that have been dropped
+        self.queued_count = 0  # of the queue, without those that have been dropped
         self.running: dict[Job, None] = {}
         self.blocked: dict[Job, None] = {}
-        self._choke.reset()
-        self._reporter = LoadReporter(self._clock, self._terms.report_ms)
+        self._congestion.reset()
+        self._reporter = LoadReporter(self._clock, self._terms.max_report_age_ms)
 
     @property
-    def choked(self) -> bool:
+    def congested(self) -> bool:
         """Whether it works more slowly after a long queue."""
-        return self._choke.choked
+        return self._congestion.congested
 
     @property
-    def chokes(self) -> int:
+    def congestion_count(self) -> int:
         """How often it has choked."""
-        return self._choke.count
+        return self._congestion.count
 
     @property
     def warm_share(self) -> float:
         """The share of its capacity that it has: it rises evenly from the cold share to the whole."""
-        cold = self._terms.cold
+        warm_up = self._terms.warm_up
         age_us = self._clock.now_us - self.started_us
-        if not self.started_us or age_us >= to_us(cold.warm_s):
+        if not self.started_us or age_us >= to_us(warm_up.duration_s):
             return 1.0
-        return cold.start + (1.0 - cold.start) * age_us / to_us(cold.warm_s)
+        return warm_up.initial_capacity + (1.0 - warm_up.initial_capacity) * age_us / to_us(
+            warm_up.duration_s
+        )
 
     @property
     def rate(self) -> float:
         """Work that a core does in a unit of time."""
-        held = 1.0 - self._terms.connection_cost * min(1.0, self.connections / self._terms.connections)
-        choked = self._terms.choke.slowdown if self.choked else 1.0
-        return self._speed * self.warm_share * held / self.slowdown / choked
+        connection_factor = 1.0 - self._terms.connection_cost * min(
+            1.0, self.connections / self._terms.max_connections
+        )
+        congestion_slowdown = self._terms.congestion.slowdown if self.congested else 1.0
+        return self._speed * self.warm_share * connection_factor / self.slowdown / congestion_slowdown
 
     @property
     def has_free_core(self) -> bool:
@@ -90,25 +94,25 @@
         working = len(self.running)
         return working < self._cores and working + len(self.blocked) < self._terms.slots
 
-    def stop(self, announced: bool) -> None:
+    def stop(self, resets_connections: bool) -> None:
         """End the process.
 
         Args:
-            announced: Its connections are reset; otherwise the machine is gone in silence.
+            resets_connections: Its connections are reset; otherwise the machine is gone in silence.
         """
         self.up = False
-        self.silent = not announced
+        self.silent = not resets_connections
         self.draining = False
         self.epoch += 1
         self.connections = 0
         queued = (job for job in self.queue if job.state is JobState.QUEUED)
         jobs = [*self.running, *self.blocked, *queued]
         for job in self.running:
-            self.worked_us += self.done_us(job)
+            self.worked_us += self.completed_work_us(job)
         for job in jobs:
             job.state = JobState.ENDED
         self._begin_process()
-        if announced:
+        if resets_connections:
             for job in jobs:
                 job.on_reset()
 
@@ -120,12 +124,12 @@
             self.started_us = self._clock.now_us
             self._overload.clear()
 
-    def take(self, job: Job) -> None:
+    def accept(self, job: Job) -> None:
         """Accept a request that has come in."""
         self._check_overload(job)
         if not self.up:
             job.on_reset()
-        elif self.draining or (not self.has_free_core and self.waiting >= self._terms.waiting):
+        elif self.draining or (not self.has_free_core and self.queued_count >= self._terms.max_queued):
             job.state = JobState.ENDED
             job.on_answer(Outcome.REJECTED, self.load_report())
         elif self.has_free_core:
@@ -133,17 +137,17 @@
         else:
             job.state = JobState.QUEUED
             self.queue.append(job)
-            self.waiting += 1
-            self._update_choke()
+            self.queued_count += 1
+            self._update_congestion()
 
-    def drop(self, job: Job) -> None:
+    def cancel(self, job: Job) -> None:
         """Cancel a job: a queued one is dropped, a running one stops where the scenario has it so."""
         if job.state is JobState.QUEUED:
-            self.waiting -= 1
+            self.queued_count -= 1
             job.state = JobState.ENDED
-            self._update_choke()
-        elif job.state is JobState.RUNNING and self._terms.cancel_stops:
-            self.worked_us += self.done_us(job)
+            self._update_congestion()
+        elif job.state is JobState.RUNNING and self._terms.cancel_stops_running_jobs:
+            self.worked_us += self.completed_work_us(job)
             del self.running[job]
             job.state = JobState.ENDED
             self._run_next()
@@ -152,27 +156,27 @@
 
     def load_report(self) -> LoadReport:
         """The report that goes with an answer."""
-        return self._reporter.report(self.waiting)
+        return self._reporter.report(self.queued_count)
 
-    def done_us(self, job: Job) -> float:
+    def completed_work_us(self, job: Job) -> float:
         """Work that has gone into a running job, at the present rate."""
-        return min(job.total_us, (self._clock.now_us - job.began_us) * self.rate)
+        return min(job.total_us, (self._clock.now_us - job.started_us) * self.rate)
 
     def _run(self, job: Job) -> None:
         job.state = JobState.RUNNING
-        job.began_us = self._clock.now_us
+        job.started_us = self._clock.now_us
         self.running[job] = None
-        takes_us = round(job.total_us / self.rate)
-        self._clock.call_at(self._clock.now_us + takes_us, self._end_work, job)
-        self._update_choke()
+        duration_us = round(job.total_us / self.rate)
+        self._clock.call_at(self._clock.now_us + duration_us, self._end_work, job)
+        self._update_congestion()
 
     def _run_next(self) -> None:
         while self.queue and self.has_free_core:
             job = self.queue.popleft()
             if job.state is JobState.QUEUED:
-                self.waiting -= 1
+                self.queued_count -= 1
                 self._run(job)
-        self._update_choke()
+        self._update_congestion()
 
     def _end_work(self, job: Job) -> None:
         if job.state is not JobState.RUNNING:
@@ -189,12 +193,12 @@
             return
         del self.blocked[job]
         job.state = JobState.ENDED
-        self._reporter.add((self._clock.now_us - job.began_us) / 1e3, job.fails)
+        self._reporter.record((self._clock.now_us - job.started_us) / 1e3, job.fails)
         job.on_answer(Outcome.ERROR if job.fails else Outcome.OK, self.load_report())
         self._run_next()
 
-    def _update_choke(self) -> None:
-        self._choke.update(self.waiting, len(self.running))
+    def _update_congestion(self) -> None:
+        self._congestion.update(self.queued_count, len(self.running))
 
     def _check_overload(self, job: Job) -> None:
         """A cold endpoint that has been sent too much crashes, and stays down."""
@@ -206,4 +210,4 @@
             self.crashed = True
             if self.on_crash is not None:
                 self.on_crash(overload)
-            self.stop(announced=True)
+            self.stop(resets_connections=True)
--- a/lab/model/engine.py
+++ b/lab/model/engine.py
@@ -18,17 +18,17 @@
         self._heap: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self._sequence = 0
 
-    def call_at(self, due_us: int, call: Callable[..., None], *arguments: Any) -> None:
+    def call_at(self, due_us: int, callback: Callable[..., None], *arguments: Any) -> None:
         """Schedule a call; one whose time has passed is due now."""
         self._sequence += 1
-        heappush(self._heap, (max(due_us, self.now_us), self._sequence, call, arguments))
+        heappush(self._heap, (max(due_us, self.now_us), self._sequence, callback, arguments))
 
     def run(self, until_us: int) -> None:
         """Make all calls that are due by a time, and leave the clock there."""
         while self._heap and self._heap[0][0] <= until_us:
-            self.now_us, _, call, arguments = heappop(self._heap)
+            self.now_us, _, callback, arguments = heappop(self._heap)
             self.events += 1
-            call(*arguments)
+            callback(*arguments)
         self.now_us = until_us
 
 
--- a/lab/model/experiment.py
+++ b/lab/model/experiment.py
@@ -19,7 +19,7 @@
 from lab.model.knobs import Knob, apply_knobs
 from lab.model.results import FILE, Result, read, write
 from lab.model.scenario import Scenario
-from lab.model.world import World
+from lab.model.simulation import Simulation
 
 
 def initialize_worker(knobs: Iterable[Knob]) -> None:
@@ -64,8 +64,8 @@
 def play(scenario: Scenario, policy: str, seed: int) -> Result:
     """One day; a policy that raises is named in place of its figures."""
     try:
-        world = World(scenario, policies.POLICIES[policy], seed)
-        world.play()
+        world = Simulation(scenario, policies.POLICIES[policy], seed)
+        world.run()
         found = score.result(world)
     except Exception as error:
         found = {"crash": f"{type(error).__name__}: {error}"}
--- a/lab/model/faults.py
+++ b/lab/model/faults.py
@@ -29,7 +29,7 @@
 )
 
 
-class FaultSchedule:
+class FaultScheduler:
     """Begins and ends faults at their times."""
 
     def __init__(
@@ -52,7 +52,7 @@
         self._endpoint_lifecycle = endpoint_lifecycle
         self._gateway_lifecycle = gateway_lifecycle
 
-    def add(self, fault: AnyFault, rng: np.random.Generator) -> None:
+    def schedule(self, fault: AnyFault, rng: np.random.Generator) -> None:
         """Schedule a fault; `rng` chooses whom it concerns."""
         match fault:
             case SlowEndpoints():
@@ -74,13 +74,13 @@
 
     def _slow_down(self, fault: SlowEndpoints, rng: np.random.Generator) -> None:
         begin_us, end_us = fault_span(fault)
-        for index in choose_part(rng, len(self._endpoints), fault.part):
+        for index in choose_share(rng, len(self._endpoints), fault.affected_share):
             self._clock.call_at(begin_us, setattr, self._endpoints[index], "slowdown", fault.slowdown)
             self._clock.call_at(end_us, setattr, self._endpoints[index], "slowdown", 1.0)
 
     def _silence(self, fault: SilentEndpoints, rng: np.random.Generator) -> None:
         begin_us, end_us = fault_span(fault)
-        for index in choose_part(rng, len(self._endpoints), fault.part):
+        for index in choose_share(rng, len(self._endpoints), fault.affected_share):
             self._clock.call_at(begin_us, setattr, self._endpoints[index], "silent", True)
             self._clock.call_at(end_us, setattr, self._endpoints[index], "silent", False)
 
@@ -101,13 +101,13 @@
         match fault:
             case Partition():
                 regions = list(self._scenario.fleet.regions)
-                apart = frozenset(regions.index(name) for name in fault.regions)
-                self._clock.call_at(begin_us, self._begin_partition, apart)
-                self._clock.call_at(end_us, self._end_partition, apart)
+                isolated = frozenset(regions.index(name) for name in fault.regions)
+                self._clock.call_at(begin_us, self._begin_partition, isolated)
+                self._clock.call_at(end_us, self._end_partition, isolated)
             case PacketLoss():
-                usual = self._scenario.network.loss
+                normal_loss = self._scenario.network.loss
                 self._clock.call_at(begin_us, setattr, self._network, "loss", fault.share)
-                self._clock.call_at(end_us, setattr, self._network, "loss", usual)
+                self._clock.call_at(end_us, setattr, self._network, "loss", normal_loss)
             case DiscoveryOutage():
                 self._clock.call_at(begin_us, self._registry.stop)
                 self._clock.call_at(end_us, self._registry.start)
@@ -115,10 +115,10 @@
     def _release(self, fault: RollingRelease, rng: np.random.Generator) -> None:
         for index, wave_us in choose_waves(fault, rng, len(self._endpoints)):
             endpoint = self._endpoints[index]
-            stops_us = wave_us + to_us(fault.drain_s)
+            stop_us = wave_us + to_us(fault.drain_s)
             self._clock.call_at(wave_us, self._endpoint_lifecycle.drain, endpoint)
-            self._clock.call_at(stops_us, self._endpoint_lifecycle.stop, endpoint, True)
-            self._clock.call_at(stops_us + to_us(fault.down_s), self._endpoint_lifecycle.start, endpoint)
+            self._clock.call_at(stop_us, self._endpoint_lifecycle.stop, endpoint, True)
+            self._clock.call_at(stop_us + to_us(fault.down_s), self._endpoint_lifecycle.start, endpoint)
 
     def _restart_gateways(self, fault: GatewayRestarts, rng: np.random.Generator) -> None:
         for index, wave_us in choose_waves(fault, rng, len(self._gateways)):
@@ -137,13 +137,13 @@
 
 def fault_span(fault: AnyFault) -> tuple[int, int]:
     """When a fault begins and ends."""
-    begin_us = START_US + to_us(fault.at_s)
-    return begin_us, begin_us + to_us(fault.for_s)
+    begin_us = START_US + to_us(fault.start_s)
+    return begin_us, begin_us + to_us(fault.duration_s)
 
 
-def choose_part(rng: np.random.Generator, count: int, part: float) -> list[int]:
+def choose_share(rng: np.random.Generator, count: int, share: float) -> list[int]:
     """A part of the indexes below `count`, at least one where it is above zero, in random order."""
-    chosen = max(1, round(part * count)) if part else 0
+    chosen = max(1, round(share * count)) if share else 0
     return [int(n) for n in rng.permutation(range(count))[:chosen]]
 
 
@@ -152,7 +152,7 @@
 ) -> Iterator[tuple[int, int]]:
     """The indexes that a fault concerns, each with the time of its wave."""
     begin_us, _ = fault_span(fault)
-    indexes = choose_part(rng, count, fault.part)
-    for place, index in enumerate(indexes):
-        wave = place * fault.waves // len(indexes)
-        yield index, begin_us + to_us(fault.for_s * wave / fault.waves)
+    indexes = choose_share(rng, count, fault.affected_share)
+    for position, index in enumerate(indexes):
+        wave = position * fault.waves // len(indexes)
+        yield index, begin_us + to_us(fault.duration_s * wave / fault.waves)
--- a/lab/model/fleet.py
+++ b/lab/model/fleet.py
@@ -16,8 +16,8 @@
 
     def __init__(self, clock: Clock, scenario: Scenario, seed: int) -> None:
         rng = stream(seed, "servers")
-        self.zones = len(scenario.zones)
-        machines, count = scenario.fleet.machines, scenario.fleet.servers
+        self.zone_count = len(scenario.zones)
+        machines, count = scenario.fleet.machines, scenario.fleet.endpoints
         bounds = np.cumsum([m.share for m in machines])
         kinds = np.searchsorted(bounds, (np.arange(count) + 0.5) / count * bounds[-1]).tolist()
         kinds = rng.permutation(kinds).tolist()
@@ -32,8 +32,9 @@
                 kind,
                 rng.uniform(*machines[kind].speed),
                 mean_work_us,
-                zone=index % self.zones,
-                rack=index % self.zones + self.zones * (index // self.zones // scenario.fleet.rack),
+                zone=index % self.zone_count,
+                rack=index % self.zone_count
+                + self.zone_count * (index // self.zone_count // scenario.fleet.rack_size),
             )
             for index, kind in enumerate(kinds)
         ]
--- a/lab/model/gateway_settings.py
+++ b/lab/model/gateway_settings.py
@@ -19,14 +19,18 @@
 
 def make_settings(scenario: Scenario, gateway_index: int) -> Settings:
     """The settings of the gateway of an index."""
-    cold, objective, traffic = scenario.fleet.cold, scenario.objective, scenario.traffic
+    warm_up, objective, traffic = scenario.fleet.warm_up, scenario.objective, scenario.traffic
     return Settings(
         tuple(_request_class(traffic_class) for traffic_class in traffic.classes),
         objective=ObjectiveWeights(
             objective.whole, objective.worst_window, objective.worst_class, objective.worst_tenant
         ),
         prices=Prices(
-            cross_zone=scenario.cross_zone, waste=0.02, late_failure=0.03, connection=0.05, handshake=0.05
+            cross_zone=scenario.cross_zone_price,
+            waste=0.02,
+            late_failure=0.03,
+            connection=0.05,
+            handshake=0.05,
         ),
         weight_by_work=True,
         gateways=scenario.fleet.gateways,
@@ -35,11 +39,11 @@
         clients_mark_retries=True,
         max_attempts=4,
         endpoints_are_pushed=scenario.discovery.pushed,
-        max_poll_interval_us=to_us(scenario.discovery.must_ask_s),
-        slow_start_capacity=cold.start,
-        slow_start_us=to_us(cold.warm_s),
-        overload_multiple=cold.multiple,
-        overload_window_us=to_us(cold.overload_window_s),
+        max_poll_interval_us=to_us(scenario.discovery.max_poll_interval_s),
+        slow_start_capacity=warm_up.initial_capacity,
+        slow_start_us=to_us(warm_up.duration_s),
+        overload_multiple=warm_up.overload_multiple,
+        overload_window_us=to_us(warm_up.overload_window_s),
         tenants=tuple(Tenant(t.quota_per_s, t.share, t.name) for t in traffic.tenants),
         over_quota_weight_share=traffic.over_quota_weight_share,
         load_reports=LoadReportSettings(LoadReportMode.RESPONSES, LOAD_REPORT_KEYS),
--- a/lab/model/job.py
+++ b/lab/model/job.py
@@ -29,12 +29,12 @@
     handshake_us: float  # of the same, for a new connection
     blocked_us: int
     fails: bool
-    sender_knows_start: bool  # its gateway has been notified of the endpoint's last start
+    sender_notified_of_start: bool  # its gateway has been notified of the endpoint's last start
     gateway_index: int
     on_answer: Callable[[Outcome, LoadReport], None]
     on_reset: Callable[[], None]  # the process is gone
     state: JobState = JobState.IN_TRANSIT
-    began_us: int = 0
+    started_us: int = 0
 
     @property
     def total_us(self) -> float:
--- a/lab/model/lifecycle.py
+++ b/lab/model/lifecycle.py
@@ -9,8 +9,8 @@
 from lab.model.clients import Clients
 from lab.model.endpoint import ModelEndpoint
 from lab.model.fleet import EndpointFleet
-from lab.model.front import FrontLayer
 from lab.model.gateway import ModelGateway
+from lab.model.ingress import Ingress
 from lab.model.overload import Overload
 from lab.model.registry import Registry
 from lab.model.requests import RequestEnd
@@ -36,7 +36,7 @@
         self._rules = rules
         self._record = record
         for endpoint in fleet.endpoints:
-            endpoint.on_crash = partial(self._crashed, endpoint)
+            endpoint.on_crash = partial(self._handle_crash, endpoint)
 
     def drain(self, endpoint: ModelEndpoint) -> None:
         """The endpoint rejects requests from now on, and discovery learns of it."""
@@ -44,12 +44,12 @@
             endpoint.draining = True
             self._report(endpoint, EndpointStatus.DRAINING)
 
-    def stop(self, endpoint: ModelEndpoint, announced: bool) -> None:
-        """The process ends; if announced, the gateways see its connections close."""
+    def stop(self, endpoint: ModelEndpoint, resets_connections: bool) -> None:
+        """The process ends; with `resets_connections`, the gateways see its connections close."""
         if endpoint.up:
-            if announced:
-                self._forget_idle(endpoint)
-            endpoint.stop(announced)
+            if resets_connections:
+                self._drop_idle_connections(endpoint)
+            endpoint.stop(resets_connections)
             self._report(endpoint, EndpointStatus.GONE)
 
     def start(self, endpoint: ModelEndpoint) -> None:
@@ -58,13 +58,13 @@
             endpoint.start()
             self._report(endpoint, EndpointStatus.READY)
 
-    def _crashed(self, endpoint: ModelEndpoint, overload: Overload) -> None:
+    def _handle_crash(self, endpoint: ModelEndpoint, overload: Overload) -> None:
         self._record.costs["falls"] += 1
-        self._rules.check_crash(endpoint.index, overload.knowing_share, overload.gateway_index)
-        self._forget_idle(endpoint)
+        self._rules.check_crash(endpoint.index, overload.notified_share, overload.gateway_index)
+        self._drop_idle_connections(endpoint)
         self._report(endpoint, EndpointStatus.GONE)
 
-    def _forget_idle(self, endpoint: ModelEndpoint) -> None:
+    def _drop_idle_connections(self, endpoint: ModelEndpoint) -> None:
         for gateway in self._gateways:
             gateway.idle.forget(endpoint.index)
 
@@ -75,8 +75,8 @@
 class GatewayLifecycle:
     """Gateways that are killed and come back."""
 
-    def __init__(self, front: FrontLayer, attempts: Attempts, clients: Clients) -> None:
-        self._front = front
+    def __init__(self, ingress: Ingress, attempts: Attempts, clients: Clients) -> None:
+        self._ingress = ingress
         self._attempts = attempts
         self._clients = clients
 
@@ -84,7 +84,7 @@
         """The process ends, and with it all that it held."""
         if not gateway.up:
             return
-        self._front.note_down(gateway)
+        self._ingress.report_down(gateway)
         for request in gateway.stop():
             self._attempts.reset_all(gateway, request)
             if not request.finished:
@@ -93,5 +93,5 @@
     def start(self, gateway: ModelGateway) -> None:
         """A new process begins."""
         if not gateway.up:
-            self._front.note_up()
+            self._ingress.report_up()
             gateway.start()
--- a/lab/model/load_report.py
+++ b/lab/model/load_report.py
@@ -5,10 +5,10 @@
 from lab.model.engine import Clock
 from lab.model.job import LoadReport
 
-REPORT_SHARE = 0.2  # of the newest service time in the reported one
-ERROR_SHARE = 0.5  # of the newest gap between errors in the reported rate
+SERVICE_TIME_SMOOTHING = 0.2  # of the newest service time in the reported one
+ERROR_RATE_SMOOTHING = 0.5  # of the newest gap between errors in the reported rate
 MIN_ERROR_GAP_S = 0.05
-ERROR_MEMORY_S = 2.0  # a success this long after the last error reports a rate of 0
+ERROR_EXPIRY_S = 2.0  # a success this long after the last error reports a rate of 0
 
 
 class LoadReporter:
@@ -23,16 +23,16 @@
         self._report: LoadReport = ()
         self._reported_us = -(10**9)
 
-    def add(self, service_ms: float, fails: bool) -> None:
+    def record(self, service_ms: float, failed: bool) -> None:
         """Count an answer."""
-        share = REPORT_SHARE if self._service_ms else 1.0
-        self._service_ms += share * (service_ms - self._service_ms)
+        smoothing = SERVICE_TIME_SMOOTHING if self._service_ms else 1.0
+        self._service_ms += smoothing * (service_ms - self._service_ms)
         gap_s = (self._clock.now_us - self._last_error_us) / 1e6
-        if fails:
-            newest = ERROR_SHARE / max(MIN_ERROR_GAP_S, gap_s)
-            self._errors_per_s = (1.0 - ERROR_SHARE) * self._errors_per_s + newest
+        if failed:
+            newest_per_s = ERROR_RATE_SMOOTHING / max(MIN_ERROR_GAP_S, gap_s)
+            self._errors_per_s = (1.0 - ERROR_RATE_SMOOTHING) * self._errors_per_s + newest_per_s
             self._last_error_us = self._clock.now_us
-        elif gap_s > ERROR_MEMORY_S:
+        elif gap_s > ERROR_EXPIRY_S:
             self._errors_per_s = 0.0
 
     def report(self, queued: int) -> LoadReport:
--- a/lab/model/network.py
+++ b/lab/model/network.py
@@ -12,21 +12,29 @@
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         rng, terms = stream(seed, "network"), scenario.network
-        zones, region_of = len(scenario.zones), scenario.region_of
+        zone_count, region_of = len(scenario.zones), scenario.region_of
         self.region_of = region_of
-        self.one_way_us = [[0] * zones for _ in range(zones)]
-        for a in range(zones):
-            for b in range(a, zones):
-                span = terms.zones_ms if region_of[a] == region_of[b] else terms.regions_ms
-                span = terms.within_ms if a == b else span
-                self.one_way_us[a][b] = self.one_way_us[b][a] = max(1, round(rng.uniform(*span) * 1e3))
+        self.one_way_us = [[0] * zone_count for _ in range(zone_count)]
+        for zone in range(zone_count):
+            for other_zone in range(zone, zone_count):
+                delay_range_ms = (
+                    terms.between_zones_ms
+                    if region_of[zone] == region_of[other_zone]
+                    else terms.between_regions_ms
+                )
+                delay_range_ms = terms.within_zone_ms if zone == other_zone else delay_range_ms
+                self.one_way_us[zone][other_zone] = self.one_way_us[other_zone][zone] = max(
+                    1, round(rng.uniform(*delay_range_ms) * 1e3)
+                )
         self.partitions: list[frozenset[int]] = []  # sets of regions cut off from all others
         self.loss = terms.loss
 
     def reaches(self, source: int, target: int) -> bool:
         """Whether packets pass between two zones."""
-        one, other = self.region_of[source], self.region_of[target]
-        return all((one in cut) == (other in cut) for cut in self.partitions)
+        source_region, target_region = self.region_of[source], self.region_of[target]
+        return all(
+            (source_region in partition) == (target_region in partition) for partition in self.partitions
+        )
 
     def reaches_endpoint(self, zone: int, endpoint: ModelEndpoint) -> bool:
         """Whether packets pass between a zone and an endpoint's machine, whatever state its process is in."""
--- a/lab/model/overload.py
+++ b/lab/model/overload.py
@@ -8,24 +8,24 @@
 
 from lab.model.engine import to_us
 from lab.model.job import Job
-from lab.model.scenario import ColdStart
+from lab.model.scenario import WarmUp
 
 
 class Overload(NamedTuple):
     """Too much work sent to a cold endpoint."""
 
-    knowing_share: float  # from gateways that had been notified of its start
+    notified_share: float  # from gateways that had been notified of its start
     gateway_index: int  # that sent most
 
 
 class OverloadWindow:
     """All work that has reached a cold endpoint within the time that it stands, also what it rejects."""
 
-    def __init__(self, terms: ColdStart, mean_work_us: float, cores: int, speed: float) -> None:
+    def __init__(self, terms: WarmUp, mean_work_us: float, cores: int, speed: float) -> None:
         self._cores = cores
         self._speed = speed
         self._window_us = to_us(terms.overload_window_s)
-        self._multiple = terms.multiple
+        self._overload_multiple = terms.overload_multiple
         self._mean_work_us = mean_work_us
         self._jobs: deque[tuple[int, Job]] = deque()
 
@@ -47,13 +47,17 @@
         self._jobs.append((now_us, job))
         while self._jobs[0][0] <= now_us - self._window_us:
             self._jobs.popleft()
-        capacity = self._multiple * self._cores * self._speed * warm_share
+        capacity = self._overload_multiple * self._cores * self._speed * warm_share
         allowed = capacity * self._window_us / self._mean_work_us
-        work_us = sum(one.work_us for _, one in self._jobs)
+        work_us = sum(received.work_us for _, received in self._jobs)
         if work_us <= (allowed + 2.0 * sqrt(allowed) + 2.0) * self._mean_work_us:
             return None
-        knowing_us: dict[int, float] = {}
-        for _, one in self._jobs:
-            sent_us = one.work_us * one.sender_knows_start
-            knowing_us[one.gateway_index] = knowing_us.get(one.gateway_index, 0.0) + sent_us
-        return Overload(sum(knowing_us.values()) / work_us, max(knowing_us, key=lambda n: knowing_us[n]))
+        notified_work_us: dict[int, float] = {}
+        for _, received in self._jobs:
+            notified_us = received.work_us * received.sender_notified_of_start
+            notified_work_us[received.gateway_index] = (
+                notified_work_us.get(received.gateway_index, 0.0) + notified_us
+            )
+        return Overload(
+            sum(notified_work_us.values()) / work_us, max(notified_work_us, key=lambda n: notified_work_us[n])
+        )
--- a/lab/model/requests.py
+++ b/lab/model/requests.py
@@ -36,7 +36,7 @@
     """One request at one gateway: a client's retry is another."""
 
     id: str
-    client_request: int  # its row in the workload
+    workload_row: int  # its row in the workload
     try_number: int  # 0, or the number of the client's retry
     gateway_index: int  # -1: no gateway was found
     request_class: TrafficClass
--- a/lab/model/samples.py
+++ b/lab/model/samples.py
@@ -16,7 +16,7 @@
 def pending_work_ms(endpoint: ModelEndpoint) -> float:
     """Work in hand on a core of speed 1: what is queued, and what is left of what runs."""
     queued = sum(job.total_us for job in endpoint.queue if job.state is JobState.QUEUED)
-    running = sum(job.total_us - endpoint.done_us(job) for job in endpoint.running)
+    running = sum(job.total_us - endpoint.completed_work_us(job) for job in endpoint.running)
     return (queued + running) / 1e3
 
 
@@ -31,11 +31,11 @@
     def take(self, fleet: EndpointFleet, gateways: Sequence[ModelGateway]) -> None:
         """Add one second: load in whole requests and ms, limits in requests, what is shed as a share."""
         found = {
-            "waiting": [float(endpoint.waiting) for endpoint in fleet.endpoints],
+            "waiting": [float(endpoint.queued_count) for endpoint in fleet.endpoints],
             "work_ms": [pending_work_ms(endpoint) for endpoint in fleet.endpoints],
         }
         for what, values in found.items():
-            sums = [0.0] * fleet.zones
+            sums = [0.0] * fleet.zone_count
             for endpoint, value in zip(fleet.endpoints, values, strict=True):
                 sums[endpoint.zone] += value
             self.endpoints[what].append([round(value) for value in values[:MAX_ENDPOINTS]])
--- a/lab/model/scenario.py
+++ b/lab/model/scenario.py
@@ -40,7 +40,7 @@
     """Common to all sections of a file."""
 
 
-class Machines(Section, frozen=True):
+class MachineType(Section, frozen=True):
     """A type of machine, and its share of the fleet."""
 
     name: str
@@ -49,22 +49,26 @@
     cores: Count = 2
 
 
-class Choke(Section, frozen=True):
-    """More than `waiting` requests a core queued for `after_s` make an endpoint `slowdown` times slower."""
+class Congestion(Section, frozen=True):
+    """More than `queued_per_core` requests queued for `after_s` make an endpoint `slowdown` times slower."""
 
-    waiting: Positive = 4.0
+    queued_per_core: Positive = field(name="waiting", default=4.0)
     after_s: NonNegative = 2.0
     slowdown: Factor = field(name="times", default=2.7)
-    rest_s: NonNegative = 3.6  # mostly idle for so long: over
-    spell_s: NonNegative = 26.0  # over in any case
+    recovery_idle_s: NonNegative = field(name="rest_s", default=3.6)  # mostly idle for so long: over
+    max_duration_s: NonNegative = field(name="spell_s", default=26.0)  # over in any case
 
 
-class ColdStart(Section, frozen=True):
+class WarmUp(Section, frozen=True):
     """How a process that has just started warms up, and how much it stands until then."""
 
-    start: Annotated[float, Meta(gt=0, le=1)] = 0.13  # of its capacity
-    warm_s: NonNegative = 23.0
-    multiple: Factor = 2.5  # sent more than this times its present capacity
+    initial_capacity: Annotated[float, Meta(gt=0, le=1)] = field(
+        name="start", default=0.13
+    )  # of its capacity
+    duration_s: NonNegative = field(name="warm_s", default=23.0)
+    overload_multiple: Factor = field(
+        name="multiple", default=2.5
+    )  # sent more than this times its present capacity
     overload_window_s: Positive = field(name="fall_s", default=3.0)  # for so long, it crashes
 
 
@@ -72,34 +76,42 @@
     """Gateways, endpoints, and what both stand on."""
 
     gateways: Count
-    servers: Count
+    endpoints: Count = field(name="servers")
     regions: dict[str, Annotated[tuple[str, ...], Meta(min_length=1)]]  # zones of each
-    machines: Annotated[tuple[Machines, ...], Meta(min_length=1)]
-    rack: Count = 3  # endpoints of one zone that fail together
+    machines: Annotated[tuple[MachineType, ...], Meta(min_length=1)]
+    rack_size: Count = field(name="rack", default=3)  # endpoints of one zone that fail together
     slots: Count = 24  # for requests in work, those that wait on other services with them
-    waiting: Count = 60  # room for requests that wait at an endpoint
-    connections: Count = 1500
+    max_queued: Count = field(name="waiting", default=60)  # room for requests that wait at an endpoint
+    max_connections: Count = field(name="connections", default=1500)
     connection_cost: Share = field(name="table", default=0.1)  # of its capacity, by a full connection table
     handshake_ms: NonNegative = 4.6  # work of a new connection
     health_check_ms: NonNegative = field(name="probe_ms", default=0.12)
     keepalive_s: Positive = 15.0
-    report_ms: NonNegative = 150.0  # age of a load report at the most
-    errors: Share = 0.0  # requests that end in an error, whoever serves them
-    cancel_stops: bool = True  # running work too, not only what waits
-    choke: Choke = Choke()
-    cold: ColdStart = ColdStart()
+    max_report_age_ms: NonNegative = field(
+        name="report_ms", default=150.0
+    )  # age of a load report at the most
+    error_share: Share = field(
+        name="errors", default=0.0
+    )  # requests that end in an error, whoever serves them
+    cancel_stops_running_jobs: bool = field(
+        name="cancel_stops", default=True
+    )  # running work too, not only what waits
+    congestion: Congestion = field(name="choke", default=Congestion())
+    warm_up: WarmUp = field(name="cold", default=WarmUp())
 
 
 class NetworkTerms(Section, frozen=True):
     """One way, drawn for each pair of zones."""
 
-    within_ms: Range = (0.1, 0.2)
-    zones_ms: Range = (0.42, 0.78)
-    regions_ms: Range = (8.0, 14.0)
+    within_zone_ms: Range = field(name="within_ms", default=(0.1, 0.2))
+    between_zones_ms: Range = field(name="zones_ms", default=(0.42, 0.78))
+    between_regions_ms: Range = field(name="regions_ms", default=(8.0, 14.0))
     loss: Share = 0.0  # of requests, and of answers: their connection breaks
     connect_timeout_ms: Positive = 200.0
-    message_ms: Range = (4.8, 38.0)  # between gateways
-    front_s: Range = (1.1, 3.9)  # the front layer goes on sending to a dead gateway
+    peer_message_ms: Range = field(name="message_ms", default=(4.8, 38.0))  # between gateways
+    gateway_failure_detection_s: Range = field(
+        name="front_s", default=(1.1, 3.9)
+    )  # the front layer goes on sending to a dead gateway
 
 
 class DiscoveryTerms(Section, frozen=True):
@@ -108,8 +120,8 @@
     pushed: bool = False
     delay_s: Range = (0.5, 2.5)  # until it knows of a change
     calls_per_s: Positive = 50.0
-    queue_s: NonNegative = 2.0  # a call that would wait longer fails
-    must_ask_s: Positive = 10.0
+    max_queue_s: NonNegative = field(name="queue_s", default=2.0)  # a call that would wait longer fails
+    max_poll_interval_s: Positive = field(name="must_ask_s", default=10.0)
 
 
 class TrafficClass(Section, frozen=True):
@@ -157,7 +169,9 @@
 
     retries: Annotated[int, Meta(ge=0, le=8)] = 1
     backoff_ms: Range = field(name="wait_ms", default=(50.0, 300.0))
-    patience: tuple[Share, Share] = (0.7, 1.0)  # of the timeout, for one try
+    try_timeout_share: tuple[Share, Share] = field(
+        name="patience", default=(0.7, 1.0)
+    )  # of the timeout, for one try
     honor_retry_after: bool = field(name="heed", default=True)
     early_disconnects: Share = field(
         name="hasty", default=0.0
@@ -167,21 +181,21 @@
 class Fault(Section, frozen=True, tag_field="kind"):
     """Something that begins at a time and lasts for a while."""
 
-    at_s: NonNegative
-    for_s: NonNegative
+    start_s: NonNegative = field(name="at_s")
+    duration_s: NonNegative = field(name="for_s")
 
 
 class SlowEndpoints(Fault, frozen=True, tag="slow"):
     """A part of the endpoints works more slowly."""
 
-    part: Share
+    affected_share: Share = field(name="part")
     slowdown: Factor = field(name="times")
 
 
 class SilentEndpoints(Fault, frozen=True, tag="silent"):
     """Machines that swallow what they are sent, and come back as they were."""
 
-    part: Share
+    affected_share: Share = field(name="part")
 
 
 class ZoneLoss(Fault, frozen=True, tag="lost"):
@@ -221,18 +235,18 @@
 
 
 class RollingRelease(Fault, frozen=True, tag="release"):
-    """Endpoints drain, stop and start cold, in waves over `for_s`."""
+    """Endpoints drain, stop and start cold, in waves over `duration_s`."""
 
-    part: Share = 1.0
+    affected_share: Share = field(name="part", default=1.0)
     waves: Count = 6
     drain_s: NonNegative = 1.0
     down_s: NonNegative = 1.0
 
 
 class GatewayRestarts(Fault, frozen=True, tag="gateways"):
-    """Gateways are killed in waves over `for_s`, and come back with nothing but their last list."""
+    """Gateways are killed in waves over `duration_s`, and come back with nothing but their last list."""
 
-    part: Share
+    affected_share: Share = field(name="part")
     waves: Count = 1
     down_s: NonNegative = 0.8
 
@@ -286,7 +300,7 @@
     objective: Objective = field(name="goal", default=Objective())
     policies: tuple[str, ...] = ("rosedeal",)
     seeds: Count = 5
-    cross_zone: NonNegative = 0.01  # price, in the gateways' settings
+    cross_zone_price: NonNegative = field(name="cross_zone", default=0.01)  # price, in the gateways' settings
 
     @property
     def zones(self) -> tuple[str, ...]:
@@ -296,4 +310,4 @@
     @property
     def region_of(self) -> tuple[int, ...]:
         """The region's index, by the zone's."""
-        return tuple(n for n, zones in enumerate(self.fleet.regions.values()) for _ in zones)
+        return tuple(index for index, zones in enumerate(self.fleet.regions.values()) for _ in zones)
--- a/lab/model/scenario_files.py
+++ b/lab/model/scenario_files.py
@@ -13,14 +13,13 @@
 from lab.model.errors import ScenarioError
 from lab.model.scenario import (
     FAULTS,
-    Choke,
     ClientTerms,
-    ColdStart,
+    Congestion,
     DiscoveryTerms,
     Effect,
     Fault,
     Fleet,
-    Machines,
+    MachineType,
     NetworkTerms,
     Objective,
     Partition,
@@ -30,6 +29,7 @@
     Traffic,
     TrafficClass,
     TrafficTenant,
+    WarmUp,
     ZoneLoss,
 )
 from load_balancer.decisions.settings import DeduplicationScope
@@ -40,9 +40,9 @@
 SECTIONS: dict[str, type[Section]] = {
     "": Scenario,
     "fleet": Fleet,
-    "fleet.machines": Machines,
-    "fleet.choke": Choke,
-    "fleet.cold": ColdStart,
+    "fleet.machines": MachineType,
+    "fleet.choke": Congestion,
+    "fleet.cold": WarmUp,
     "traffic": Traffic,
     "traffic.classes": TrafficClass,
     "traffic.tenants": TrafficTenant,
@@ -98,27 +98,27 @@
 def _expected_keys(raw: dict[str, Any], path: str) -> list[str]:
     """The keys that are expected in the section at a path."""
     section = SECTIONS.get(re.sub(r"\[\d+\]", "", path))
-    if found := re.fullmatch(r"troubles\[(\d+)\]", path):
-        section = FAULT_KINDS.get(raw["troubles"][int(found[1])].get("kind"))
+    if section_match := re.fullmatch(r"troubles\[(\d+)\]", path):
+        section = FAULT_KINDS.get(raw["troubles"][int(section_match[1])].get("kind"))
     return [f.encode_name for f in msgspec.structs.fields(section)] if section else []
 
 
 def _describe(raw: dict[str, Any], error: msgspec.ValidationError) -> str:
     """The path of a key and what was expected of it, from msgspec's message."""
-    what, _, path = str(error).partition(" - at `")
+    reason, _, path = str(error).partition(" - at `")
     path = path.rstrip("`").removeprefix("$").removeprefix(".").replace("[...]", "")
-    name = re.search("`(.*?)`", what)
-    dot = "." if path else ""
-    if "missing required field" in what and name:
-        return f"{path}{dot}{name[1]}: expected a value, but there is none"
-    if "unknown field" in what and name:
-        return f"{path}{dot}{name[1]}: expected one of the keys {', '.join(_expected_keys(raw, path))}"
+    name = re.search("`(.*?)`", reason)
+    separator = "." if path else ""
+    if "missing required field" in reason and name:
+        return f"{path}{separator}{name[1]}: expected a value, but there is none"
+    if "unknown field" in reason and name:
+        return f"{path}{separator}{name[1]}: expected one of the keys {', '.join(_expected_keys(raw, path))}"
     if path.endswith(".kind"):
         return f"{path}: expected one of {', '.join(FAULT_KINDS)}"
     if path.endswith((".effect", ".scope")):
         values = Effect if path.endswith(".effect") else DeduplicationScope
         return f"{path}: expected one of {', '.join(v.value for v in values)}"
-    return f"{path or 'the file'}: {what[:1].lower()}{what[1:]}".replace("`", "")
+    return f"{path or 'the file'}: {reason[:1].lower()}{reason[1:]}".replace("`", "")
 
 
 def _check_finite(value: Any, path: str) -> None:
@@ -126,8 +126,8 @@
         for key, inner in value.items():
             _check_finite(inner, f"{path}.{key}" if path else key)
     elif isinstance(value, list):
-        for n, inner in enumerate(value):
-            _check_finite(inner, f"{path}[{n}]")
+        for index, inner in enumerate(value):
+            _check_finite(inner, f"{path}[{index}]")
     elif isinstance(value, float) and not math.isfinite(value):
         raise ScenarioError(f"{path}: expected a finite number, got {value}")
 
@@ -142,32 +142,32 @@
             if value[0] > value[1]:
                 raise ScenarioError(f"{path}: expected [least, most], got {list(value)}")
         else:
-            for n, inner in enumerate(value):
-                _check_pairs(inner, f"{path}[{n}]")
+            for index, inner in enumerate(value):
+                _check_pairs(inner, f"{path}[{index}]")
 
 
 def _check(scenario: Scenario) -> None:
     """Check what no single value shows."""
     _check_pairs(scenario, "")
-    sections: tuple[tuple[str, tuple[Machines | TrafficClass | TrafficTenant, ...]], ...] = (
+    sections: tuple[tuple[str, tuple[MachineType | TrafficClass | TrafficTenant, ...]], ...] = (
         ("fleet.machines", scenario.fleet.machines),
         ("traffic.classes", scenario.traffic.classes),
         ("traffic.tenants", scenario.traffic.tenants),
     )
-    for path, parts in sections:
-        if abs(sum(part.share for part in parts) - 1.0) > SHARES_TOLERANCE:
+    for path, items in sections:
+        if abs(sum(item.share for item in items) - 1.0) > SHARES_TOLERANCE:
             raise ScenarioError(f"{path}: expected shares that add up to 1")
     if len(set(scenario.zones)) != len(scenario.zones) or not scenario.zones:
         raise ScenarioError("fleet.regions: expected at least one zone, and each name once")
     if scenario.seconds < MIN_SECONDS:
         raise ScenarioError(f"seconds: expected at least {MIN_SECONDS:g}, got {scenario.seconds}")
-    for n, fault in enumerate(scenario.faults):
-        _check_fault(scenario, fault, f"troubles[{n}]")
+    for index, fault in enumerate(scenario.faults):
+        _check_fault(scenario, fault, f"troubles[{index}]")
 
 
 def _check_fault(scenario: Scenario, fault: Fault, path: str) -> None:
-    if fault.at_s >= scenario.seconds:
-        expected = f"expected less than seconds, {scenario.seconds}, got {fault.at_s}"
+    if fault.start_s >= scenario.seconds:
+        expected = f"expected less than seconds, {scenario.seconds}, got {fault.start_s}"
         raise ScenarioError(f"{path}.at_s: {expected}")
     match fault:
         case ZoneLoss() if fault.zone not in scenario.zones:
--- a/lab/model/score.py
+++ b/lab/model/score.py
@@ -11,7 +11,7 @@
 from lab.child import Hist
 from lab.model.engine import START_US
 from lab.model.requests import RequestEnd
-from lab.model.world import World
+from lab.model.simulation import Simulation
 from lab.schedule import Floats
 
 WINDOW_S = 10
@@ -61,7 +61,7 @@
         }
 
 
-def tally(world: World) -> Tally:
+def tally(world: Simulation) -> Tally:
     """Count the weight of all requests; prices are not taken off."""
     workload, traffic = world.workload, world.scenario.traffic
     seconds = int(np.ceil(world.scenario.seconds))
@@ -92,21 +92,21 @@
     return found
 
 
-def costs(world: World) -> dict[str, float]:
+def costs(world: Simulation) -> dict[str, float]:
     """What the run cost, by kind."""
     record, endpoints = world.record, world.fleet.endpoints
     offered_us = float(sum(world.workload.work_us))
     worked_us = sum(endpoint.worked_us for endpoint in endpoints)
     return {kind: record.costs[kind] for kind in COUNTED_COSTS} | {
-        "list_lines": world.registry.lines,
-        "list_calls": world.registry.calls,
+        "list_lines": world.registry.sent_entries,
+        "list_calls": world.registry.call_count,
         "connections": float(np.mean(record.open_connections)) if record.open_connections else 0.0,
         "wasted_work": ratio(worked_us - record.useful_us, offered_us),
-        "chokes": sum(endpoint.chokes for endpoint in endpoints),
+        "chokes": sum(endpoint.congestion_count for endpoint in endpoints),
     }
 
 
-def result(world: World) -> dict[str, Any]:
+def result(world: Simulation) -> dict[str, Any]:
     """All figures of a run that has been played, under the keys of stored results."""
     found = tally(world)
     parts, count, latency = found.parts(), len(world.record.ends), found.latency
--- a/lab/model/world.py
+++ b/lab/model/simulation.py
@@ -9,11 +9,11 @@
 from lab.model.attempts import Attempts
 from lab.model.clients import Clients
 from lab.model.engine import START_US, Clock, to_us
-from lab.model.faults import FaultSchedule
+from lab.model.faults import FaultScheduler
 from lab.model.fleet import EndpointFleet
-from lab.model.front import FrontLayer
 from lab.model.gateway import ModelGateway
 from lab.model.gateway_settings import make_settings
+from lab.model.ingress import Ingress
 from lab.model.lifecycle import EndpointLifecycle, GatewayLifecycle
 from lab.model.network import Network
 from lab.model.policies import CreatePolicy
@@ -26,11 +26,11 @@
 from lab.schedule import stream
 from load_balancer.decisions.endpoint import Endpoint
 
-SWEEP_US = 1_000_000
-TAIL_S = 3.0  # that a run goes on after the last deadline
+SWEEP_INTERVAL_US = 1_000_000
+EXTRA_RUN_S = 3.0  # that a run goes on after the last deadline
 
 
-class World:
+class Simulation:
     """Puts the parts of the model together and plays them."""
 
     def __init__(self, scenario: Scenario, create_policy: CreatePolicy, seed: int) -> None:
@@ -45,13 +45,13 @@
         self._network = Network(scenario, seed)
         entries = self.fleet.entries()
         self.registry = Registry(self.clock, scenario.discovery, self._network, self.gateways, entries, seed)
-        self._front = FrontLayer(self.clock, scenario, self.gateways, seed)
+        self._ingress = Ingress(self.clock, scenario, self.gateways, seed)
         self._clients = Clients(
             self.clock,
             scenario.traffic,
             scenario.clients,
             self.workload,
-            self._front,
+            self._ingress,
             self.rules,
             self.record,
         )
@@ -69,12 +69,12 @@
         self._start_gateways(create_policy, entries, seed)
         self._schedule_faults(seed)
         self._clients.start()
-        self.clock.call_at(START_US + SWEEP_US, self._sweep)
+        self.clock.call_at(START_US + SWEEP_INTERVAL_US, self._sweep)
 
-    def play(self) -> None:
+    def run(self) -> None:
         """Run until the last request has ended."""
-        longest_s = max(c.timeout_ms for c in self.scenario.traffic.classes) / 1e3
-        self.clock.run(START_US + to_us(self.scenario.seconds + longest_s + TAIL_S))
+        max_timeout_s = max(c.timeout_ms for c in self.scenario.traffic.classes) / 1e3
+        self.clock.run(START_US + to_us(self.scenario.seconds + max_timeout_s + EXTRA_RUN_S))
 
     def _start_gateways(self, create_policy: CreatePolicy, entries: Sequence[Endpoint], seed: int) -> None:
         executor = self._make_executor(seed)
@@ -92,21 +92,23 @@
             self.gateways.append(gateway)
 
     def _make_executor(self, seed: int) -> ActionExecutor:
-        peers = PeerMessages(self.clock, self.scenario, self._network, self.gateways, self.record, seed)
-        checks = HealthChecks(self.clock, self.scenario, self._network, self.fleet, self.record)
+        peer_messages = PeerMessages(
+            self.clock, self.scenario, self._network, self.gateways, self.record, seed
+        )
+        health_checks = HealthChecks(self.clock, self.scenario, self._network, self.fleet, self.record)
         return ActionExecutor(
             self.clock,
             self._attempts,
             self._clients,
             self.registry,
-            peers,
-            checks,
+            peer_messages,
+            health_checks,
             self.fleet,
             self.rules,
         )
 
     def _schedule_faults(self, seed: int) -> None:
-        schedule = FaultSchedule(
+        scheduler = FaultScheduler(
             self.clock,
             self.scenario,
             self._network,
@@ -114,10 +116,10 @@
             self.fleet,
             self.gateways,
             EndpointLifecycle(self.fleet, self.gateways, self.registry, self.rules, self.record),
-            GatewayLifecycle(self._front, self._attempts, self._clients),
+            GatewayLifecycle(self._ingress, self._attempts, self._clients),
         )
         for index, fault in enumerate(self.scenario.faults):
-            schedule.add(fault, stream(seed, f"trouble {index}"))
+            scheduler.schedule(fault, stream(seed, f"trouble {index}"))
 
     def _sweep(self) -> None:
         """Once a second: close old idle connections, count the open ones, and take a sample."""
@@ -127,4 +129,4 @@
         self.record.open_connections.append(sum(e.connections for e in self.fleet.endpoints))
         if now_us <= START_US + to_us(self.scenario.seconds):
             self.samples.take(self.fleet, self.gateways)
-        self.clock.call_at(now_us + SWEEP_US, self._sweep)
+        self.clock.call_at(now_us + SWEEP_INTERVAL_US, self._sweep)
--- a/tests/lab/model/support.py
+++ b/tests/lab/model/support.py
@@ -8,7 +8,7 @@
 from lab.model import scenario_files
 from lab.model.policies import CreatePolicy
 from lab.model.scenario import Scenario
-from lab.model.world import World
+from lab.model.simulation import Simulation
 
 TINY = """
 name = "tiny"
@@ -39,16 +39,16 @@
     return scenario_files.parse(TINY + more, "tiny.toml")
 
 
-def play(scenario: Scenario, create_policy: CreatePolicy, seed: int = 1) -> World:
+def simulate(scenario: Scenario, create_policy: CreatePolicy, seed: int = 1) -> Simulation:
     """A run that has been played."""
-    world = World(scenario, create_policy, seed)
-    world.play()
-    return world
+    simulation = Simulation(scenario, create_policy, seed)
+    simulation.run()
+    return simulation
 
 
-def violated_rules(world: World) -> set[int]:
+def violated_rules(simulation: Simulation) -> set[int]:
     """The numbers of the rules that a run has broken."""
-    return {broken["rule"] for broken in world.rules.named}
+    return {broken["rule"] for broken in simulation.rules.named}
 
 
 def call_lab(*arguments: str) -> int:
--- a/tests/lab/model/test_endpoint.py
+++ b/tests/lab/model/test_endpoint.py
@@ -17,133 +17,137 @@
 from tests.lab.model.support import TINY
 
 
-class Bench:
+class EndpointHarness:
     """One server, and what it answers."""
 
     def __init__(self, fleet: str = "") -> None:
         fleet = f"[fleet]\n{fleet}\n"
-        it = scenario_files.parse(TINY.replace("[fleet]\n", fleet).replace("errors = 0.1\n", ""), "tiny.toml")
+        scenario = scenario_files.parse(
+            TINY.replace("[fleet]\n", fleet).replace("errors = 0.1\n", ""), "tiny.toml"
+        )
         self.clock = Clock()
-        self.endpoint = ModelEndpoint(self.clock, it.fleet, 0, 0, 1.0, 30_000.0)
-        self.ends: list[tuple[int, Outcome, LoadReport]] = []
+        self.endpoint = ModelEndpoint(self.clock, scenario.fleet, 0, 0, 1.0, 30_000.0)
+        self.outcomes: list[tuple[int, Outcome, LoadReport]] = []
 
-    def job(self, work_us: float = 10_000.0, blocked_us: int = 0, knows_start: bool = True) -> Job:
+    def job(self, work_us: float = 10_000.0, blocked_us: int = 0, notified_of_start: bool = True) -> Job:
         def answer(outcome: Outcome, load: LoadReport) -> None:
-            self.ends.append((self.clock.now_us - START_US, outcome, load))
+            self.outcomes.append((self.clock.now_us - START_US, outcome, load))
 
-        return Job(work_us, 0.0, blocked_us, False, knows_start, 0, answer, lambda: answer(Outcome.RESET, ()))
+        return Job(
+            work_us, 0.0, blocked_us, False, notified_of_start, 0, answer, lambda: answer(Outcome.RESET, ())
+        )
 
-    def take(self, count: int = 1, **work: Any) -> list[Job]:
+    def accept(self, count: int = 1, **work: Any) -> list[Job]:
         jobs = [self.job(**work) for _ in range(count)]
         for job in jobs:
-            self.endpoint.take(job)
+            self.endpoint.accept(job)
         return jobs
 
     def run(self, seconds: float) -> None:
         self.clock.run(self.clock.now_us + round(seconds * 1e6))
 
 
-def test_a_server_works_on_its_cores_in_turn_and_waits_on_others_without_one() -> None:
-    bench = Bench()
-    bench.take(3, blocked_us=5_000)
-    bench.run(1.0)
-    assert [at for at, _, _ in bench.ends] == [15_000, 15_000, 25_000]
+def test_jobs_queue_for_cores_and_hold_none_while_blocked() -> None:
+    harness = EndpointHarness()
+    harness.accept(3, blocked_us=5_000)
+    harness.run(1.0)
+    assert [at_us for at_us, _, _ in harness.outcomes] == [15_000, 15_000, 25_000]
 
 
-def test_what_waits_on_others_holds_its_slot_and_a_full_table_takes_capacity() -> None:
-    bench = Bench("slots = 1\nconnections = 10")
-    bench.take(2, blocked_us=5_000)
-    bench.run(1.0)
-    assert [at for at, _, _ in bench.ends] == [15_000, 30_000]
-    bench.endpoint.connections = 5
-    assert bench.endpoint.rate == pytest.approx(0.95)
+def test_a_blocked_job_holds_its_slot_and_open_connections_reduce_the_rate() -> None:
+    harness = EndpointHarness("slots = 1\nconnections = 10")
+    harness.accept(2, blocked_us=5_000)
+    harness.run(1.0)
+    assert [at_us for at_us, _, _ in harness.outcomes] == [15_000, 30_000]
+    harness.endpoint.connections = 5
+    assert harness.endpoint.rate == pytest.approx(0.95)
 
 
-def test_a_full_server_turns_away_and_a_stopped_one_breaks_what_it_holds() -> None:
-    bench = Bench("waiting = 1")
-    bench.take(4)
-    assert [outcome for _, outcome, _ in bench.ends] == [Outcome.REJECTED]
-    bench.endpoint.stop(announced=True)
-    assert [outcome for _, outcome, _ in bench.ends[1:]] == [Outcome.RESET] * 3
-    bench.run(1.0)
-    assert len(bench.ends) == 4
+def test_a_full_endpoint_rejects_and_a_stopped_one_resets_its_jobs() -> None:
+    harness = EndpointHarness("waiting = 1")
+    harness.accept(4)
+    assert [outcome for _, outcome, _ in harness.outcomes] == [Outcome.REJECTED]
+    harness.endpoint.stop(resets_connections=True)
+    assert [outcome for _, outcome, _ in harness.outcomes[1:]] == [Outcome.RESET] * 3
+    harness.run(1.0)
+    assert len(harness.outcomes) == 4
 
 
 @pytest.mark.parametrize(("stops", "worked_us"), [("true", 4_000.0), ("false", 10_000.0)])
-def test_dropped_work_leaves_the_queue_and_stops_running_where_the_day_has_it(
+def test_cancelled_jobs_leave_the_queue_and_stop_running_if_so_configured(
     stops: str, worked_us: float
 ) -> None:
-    bench = Bench(f"cancel_stops = {stops}")
-    jobs = bench.take(3)
-    bench.endpoint.drop(jobs[2])
-    bench.run(0.004)
-    bench.endpoint.drop(jobs[0])
-    bench.run(1.0)
-    assert bench.endpoint.waiting == 0
-    assert bench.endpoint.worked_us == 10_000.0 + worked_us
-
-
-def test_a_crowd_chokes_a_server_until_it_has_rested() -> None:
-    bench = Bench()
-    jobs = bench.take(40, work_us=1e6)
-    bench.run(2.1)
-    assert bench.endpoint.choked
-    assert bench.endpoint.rate == pytest.approx(1 / 2.7)
+    harness = EndpointHarness(f"cancel_stops = {stops}")
+    jobs = harness.accept(3)
+    harness.endpoint.cancel(jobs[2])
+    harness.run(0.004)
+    harness.endpoint.cancel(jobs[0])
+    harness.run(1.0)
+    assert harness.endpoint.queued_count == 0
+    assert harness.endpoint.worked_us == 10_000.0 + worked_us
+
+
+def test_a_long_queue_congests_an_endpoint_until_it_has_been_idle() -> None:
+    harness = EndpointHarness()
+    jobs = harness.accept(40, work_us=1e6)
+    harness.run(2.1)
+    assert harness.endpoint.congested
+    assert harness.endpoint.rate == pytest.approx(1 / 2.7)
     for job in jobs:
-        bench.endpoint.drop(job)
-    bench.run(3.4)
-    assert bench.endpoint.choked
-    bench.run(0.3)
-    assert not bench.endpoint.choked
+        harness.endpoint.cancel(job)
+    harness.run(3.4)
+    assert harness.endpoint.congested
+    harness.run(0.3)
+    assert not harness.endpoint.congested
 
 
-def test_a_crowd_that_leaves_in_time_chokes_nothing() -> None:
-    bench = Bench()
-    jobs = bench.take(40, work_us=1e6)
-    bench.run(1.9)
+def test_a_queue_that_drains_in_time_causes_no_congestion() -> None:
+    harness = EndpointHarness()
+    jobs = harness.accept(40, work_us=1e6)
+    harness.run(1.9)
     for job in jobs:
-        bench.endpoint.drop(job)
-    bench.run(5.0)
-    assert not bench.endpoint.choked
-
-
-def test_a_cold_server_warms_evenly_and_falls_when_it_is_sent_too_much() -> None:
-    bench = Bench()
-    falls: list[Overload] = []
-    bench.endpoint.on_crash = falls.append
-    bench.endpoint.stop(announced=True)
-    bench.endpoint.start()
-    assert bench.endpoint.rate == pytest.approx(0.13)
-    bench.run(11.5)
-    assert bench.endpoint.rate == pytest.approx(0.565)
+        harness.endpoint.cancel(job)
+    harness.run(5.0)
+    assert not harness.endpoint.congested
+
+
+def test_capacity_rises_linearly_after_a_start_and_overload_crashes_the_endpoint() -> None:
+    harness = EndpointHarness()
+    crashes: list[Overload] = []
+    harness.endpoint.on_crash = crashes.append
+    harness.endpoint.stop(resets_connections=True)
+    harness.endpoint.start()
+    assert harness.endpoint.rate == pytest.approx(0.13)
+    harness.run(11.5)
+    assert harness.endpoint.rate == pytest.approx(0.565)
     allowed = 2.5 * 2 * 0.565 * 3e6 / 30_000.0
-    most = int(allowed + 2 * allowed**0.5 + 2)
-    bench.take(most, work_us=30_000.0)
-    assert not falls
-    bench.take(1, work_us=30_000.0)
-    assert falls == [(1.0, 0)]
-    assert not bench.endpoint.up
-    bench.endpoint.start()
-    assert not bench.endpoint.up, "it stays down"
+    max_requests = int(allowed + 2 * allowed**0.5 + 2)
+    harness.accept(max_requests, work_us=30_000.0)
+    assert not crashes
+    harness.accept(1, work_us=30_000.0)
+    assert crashes == [(1.0, 0)]
+    assert not harness.endpoint.up
+    harness.endpoint.start()
+    assert not harness.endpoint.up, "it stays down"
 
 
 @given(st.lists(st.tuples(st.sampled_from(["take", "drop", "run", "stop"]), st.integers(1, 60)), max_size=80))
 def test_every_job_ends_at_most_once(steps: list[tuple[str, int]]) -> None:
-    bench = Bench("waiting = 5")
+    harness = EndpointHarness("waiting = 5")
     jobs: list[Job] = []
-    for what, number in steps:
-        if what == "take":
-            jobs += bench.take(number % 7)
-        elif what == "drop" and jobs:
-            bench.endpoint.drop(jobs.pop(number % len(jobs)))
-        elif what == "run":
-            bench.run(number / 1e3)
-        elif what == "stop":
-            bench.endpoint.stop(announced=number % 2 == 0)
-            bench.endpoint.start()
-    taken = len(bench.ends)
-    bench.run(30.0)
-    assert bench.endpoint.waiting == 0
-    assert not bench.endpoint.running
-    assert not bench.endpoint.blocked
-    assert len(bench.ends) - taken <= len(jobs)
+    for step, argument in steps:
+        if step == "take":
+            jobs += harness.accept(argument % 7)
+        elif step == "drop" and jobs:
+            harness.endpoint.cancel(jobs.pop(argument % len(jobs)))
+        elif step == "run":
+            harness.run(argument / 1e3)
+        elif step == "stop":
+            harness.endpoint.stop(resets_connections=argument % 2 == 0)
+            harness.endpoint.start()
+    ended_before = len(harness.outcomes)
+    harness.run(30.0)
+    assert harness.endpoint.queued_count == 0
+    assert not harness.endpoint.running
+    assert not harness.endpoint.blocked
+    assert len(harness.outcomes) - ended_before <= len(jobs)
--- a/tests/lab/model/test_rules.py
+++ b/tests/lab/model/test_rules.py
@@ -20,7 +20,7 @@
     SendsToRestartedEndpoints,
     SendsTwice,
 )
-from tests.lab.model.support import BURST, RELEASE, TINY, parse_tiny, play, violated_rules
+from tests.lab.model.support import BURST, RELEASE, TINY, parse_tiny, simulate, violated_rules
 
 
 @pytest.mark.parametrize(
@@ -38,7 +38,7 @@
     ],
 )
 def test_a_mutant_that_breaks_a_rule_is_named(mutant: type[ReferencePolicy], rule: int, text: str) -> None:
-    world = play(parse_tiny(RELEASE + BURST), mutant)
+    world = simulate(parse_tiny(RELEASE + BURST), mutant)
     assert violated_rules(world) == {rule}
     first = next(broken for broken in world.rules.named if text in broken["what"])
     assert 0.0 < first["at_s"] < 16.0
@@ -56,13 +56,13 @@
 )
 def test_a_keyed_request_is_repeated_in_its_scope_and_window_only(terms: str, broken: set[int]) -> None:
     text = TINY.replace('effect = "unsafe"', f'effect = "keyed", {terms}')
-    assert violated_rules(play(scenario_files.parse(text, "tiny.toml"), RepeatsAnywhere)) == broken
+    assert violated_rules(simulate(scenario_files.parse(text, "tiny.toml"), RepeatsAnywhere)) == broken
 
 
 def test_a_gateway_that_was_not_told_fells_no_server_by_rule() -> None:
     """It watches no list, and need not ask before the end."""
     it = parse_tiny(RELEASE + BURST)
-    discovery = msgspec.structs.replace(it.discovery, must_ask_s=100.0)
-    unaware = play(msgspec.structs.replace(it, discovery=discovery), SendsToRestartedEndpoints)
+    discovery = msgspec.structs.replace(it.discovery, max_poll_interval_s=100.0)
+    unaware = simulate(msgspec.structs.replace(it, discovery=discovery), SendsToRestartedEndpoints)
     assert unaware.record.costs["falls"]
     assert violated_rules(unaware) == set()
