--- a/load_balancer/decisions/actions.py
+++ b/load_balancer/decisions/actions.py
@@ -65,26 +65,28 @@
 
 @dataclass(slots=True, frozen=True)
 class PollEndpoints:
-    """Fetch the complete endpoint list once."""
+    """Fetch the complete endpoint list once; no decision returns this yet."""
 
 
 @dataclass(slots=True, frozen=True)
 class StartHealthCheck:
-    """Check an endpoint's health; used only if `Settings.may_check_health` is set."""
+    """Check an endpoint's health, if `Settings.may_check_health` is set; no decision returns this yet."""
 
     endpoint_id: int
 
 
 @dataclass(slots=True, frozen=True)
 class CloseIdleConnections:
-    """Close this gateway's idle connections to an endpoint."""
+    """Close this gateway's idle connections to an endpoint; no decision returns this yet."""
 
     endpoint_id: int
 
 
 @dataclass(slots=True, frozen=True)
 class SendPeerMessage:
-    """Send up to 256 bytes to another gateway; used only if `Settings.may_message_peers` is set.
+    """Send up to 256 bytes to another gateway, if `Settings.may_message_peers` is set.
+
+    No decision returns this yet.
 
     Attributes:
         data: The message.
--- a/load_balancer/decisions/admission.py
+++ b/load_balancer/decisions/admission.py
@@ -90,8 +90,9 @@
 
         Args:
             request: The request.
-            any_breaker_closed: Whether the breaker of any endpoint is closed. While none is, nothing is shed:
-                half-open breakers need trials, and without an answer to them no breaker would ever close.
+            any_breaker_closed: Whether the breaker of any endpoint is closed. While none is, only requests
+                with too short a timeout are rejected: half-open breakers need trials, and without an answer
+                to them no breaker would ever close.
         """
         if self._has_too_short_timeout(request):
             return True
@@ -160,7 +161,7 @@
         return int(excess_answers * self._context.classes.slowest.smoothed_us / max(1, limit.in_flight))
 
     def _has_too_short_timeout(self, request: Request) -> bool:
-        """Return whether the client's timeout is over or too short for the unloaded latency.
+        """Return whether the time in which an answer is of use is over or shorter than the unloaded latency.
 
         Retries with short remaining timeouts would keep the endpoints busy with work for clients that have
         disconnected. A few such requests are admitted as trials, as the latency may have fallen.
--- a/load_balancer/decisions/balancer.py
+++ b/load_balancer/decisions/balancer.py
@@ -16,8 +16,8 @@
 
 Several modules change these records:
 
-- `Request`: `request_lifecycle`, `ordered_keys` (the queue of its key), `dispatcher` and `retries`; the last
-  two also change `Attempt`.
+- `Request`: `request_lifecycle`, `ordered_keys` (the queue of its key) and `dispatcher`.
+- `Attempt`: `dispatcher` and `retries` (whether it is overdue).
 - `EndpointState`: `endpoint_list` (the listed fields), `dispatcher` (attempts in flight, time of the last
   answer), `slow_start` (work sent), `load_reports` (reported values) and `outliers` (weight, last outcomes).
 - `ClassState`: its own methods and `client_timeouts` (votes).
--- a/load_balancer/decisions/circuit_breaker.py
+++ b/load_balancer/decisions/circuit_breaker.py
@@ -207,7 +207,7 @@
         return breaker
 
     def detach(self) -> None:
-        """Leave the registry of a removed endpoint; later outcomes no longer count in its totals."""
+        """Move the breakers to a registry of their own, so that the shared totals no longer count them."""
         detached_registry = BreakerRegistry(self.registry.half_open_period_count)
         for breaker in self.values():
             self.registry.remove(breaker)
--- a/load_balancer/decisions/endpoint.py
+++ b/load_balancer/decisions/endpoint.py
@@ -26,7 +26,7 @@
     Attributes:
         DELTA: The list contains only the endpoints that have changed.
         COMPLETE: The list contains every endpoint; one that is missing has been removed.
-        CACHED: The list contains every endpoint as this gateway last stored it, and may be stale.
+        CACHED: The list contains every endpoint as stored before this gateway started, and may be stale.
         ERROR: A poll or the subscription failed; the previous list stays in use.
     """
 
--- a/load_balancer/decisions/events.py
+++ b/load_balancer/decisions/events.py
@@ -133,7 +133,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HealthCheckEnded:
-    """A health check has ended."""
+    """A health check has ended; affects no decision yet."""
 
     endpoint_id: int
     outcome: Outcome
@@ -143,7 +143,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerMessageReceived:
-    """A message from another gateway of the tier has arrived."""
+    """A message from another gateway has arrived; affects no decision yet."""
 
     gateway_index: int
     data: bytes
--- a/load_balancer/decisions/latency.py
+++ b/load_balancer/decisions/latency.py
@@ -101,7 +101,7 @@
     """
 
     def __init__(self, version: SettingsVersion, previous: Mapping[int, ClassState]) -> None:
-        """Reuse the states in `previous`, which are keyed by class id, whose ids are in the version."""
+        """Reuse the states of the version's classes that are in `previous`, which has them by class id."""
         definitions_by_id = zip(version.class_ids, version.settings.classes, strict=True)
         super().__init__(
             previous.get(class_id) or ClassState(class_id, definition)
--- a/load_balancer/decisions/list_polling.py
+++ b/load_balancer/decisions/list_polling.py
@@ -10,8 +10,8 @@
 from load_balancer.decisions.timers import Timers
 
 # Longest wait before a call is repeated; the first wait is at most a quarter, and doubles with each failure.
-# Whatever call has failed, this gateway must be notified of a change within 6 s of the time when the list
-# service had it and could be reached. Of these, a call may hang for 3 s and the next one may be queued for
+# Whatever call has failed, this gateway must be notified of a change within 6 s of the time when service
+# discovery had it and could be reached. Of these, a call may hang for 3 s and the next one may be queued for
 # 2 s, see gateway/discovery.py.
 MAX_POLL_BACKOFF_US = 800_000
 FIRST_CALL_INTERVAL_SHARE = 0.1  # Share of the longest poll interval within which the first call is made.
--- a/load_balancer/decisions/request_lifecycle.py
+++ b/load_balancer/decisions/request_lifecycle.py
@@ -76,7 +76,7 @@
         self.finish(request)
 
     def finish(self, request: Request) -> None:
-        """Mark a request as answered, and cancel its attempts in flight."""
+        """Mark a request as answered, and cancel its attempts in flight unless one streams the answer."""
         request.answered = True
         if request.in_flight == 0:
             self._remove(request)
--- a/load_balancer/decisions/retries.py
+++ b/load_balancer/decisions/retries.py
@@ -27,7 +27,10 @@
 
 
 def may_repeat(request: Request) -> bool:
-    """Return whether a further attempt is safe: it cannot cause the request's effect a second time."""
+    """Return whether a further attempt can be sent without causing the request's effect a second time.
+
+    With an idempotency key, that holds only at the endpoints that `Subset.select_for_retry` returns.
+    """
     return not request.may_have_run or (
         request.request_class.definition.idempotency is not Idempotency.NON_IDEMPOTENT
     )
--- a/load_balancer/decisions/settings.py
+++ b/load_balancer/decisions/settings.py
@@ -1,8 +1,8 @@
 """Settings: the operator's description of the service, in the form that the balancer uses.
 
 The settings are plain data, independent of any file format; `load_balancer.config` reads them from JSON.
-Fields ending in `_us` are durations in whole microseconds. Fields marked "not used yet" are validated, but
-affect no decision.
+Fields ending in `_us` are durations in whole microseconds. Fields marked "not used yet" affect no request,
+but invalid numbers in them are rejected.
 """
 
 from __future__ import annotations
@@ -141,7 +141,8 @@
 class LoadReportSettings:
     """Which messages carry load reports, and the names of the reported values.
 
-    These settings affect no decision: a report that an answer carries is always used.
+    These settings affect no decision: the balancer applies every report that it receives with an answer. The
+    gateway reads reports from answers only in the mode `RESPONSES`.
 
     Attributes:
         mode: Which messages carry load reports.
@@ -206,13 +207,15 @@
         tenants: The tenants; empty if the service has only one.
         over_quota_weight_share: Weight of a request over its tenant's quota, as a share of the class's.
 
+    Used by the gateway, without effect on decisions:
+        load_reports, may_check_health and may_message_peers; with 0 for unspecified, connect_timeout_us,
+        idle_connection_timeout_us and max_open_requests (more are rejected before they reach the balancer).
+
     Not used yet:
-        load_reports, may_check_health, may_message_peers, requests_per_connection, connect_timeout_us and
-        idle_connection_timeout_us (0 if unspecified), max_open_requests (more requests are rejected before
-        they reach the balancer; 0 if unspecified), cpu_us_per_s (of this gateway; 0 for no limit),
-        cpu_us_per_request, drain_grace_us (a draining endpoint is never sent new requests, whatever this is),
-        answer_slack_us (how long after the client's deadline a final answer may be sent),
-        endpoints_propagate_deadlines, zones, endpoint_kinds, tier and tiers.
+        requests_per_connection, cpu_us_per_s (of this gateway; 0 for no limit), cpu_us_per_request,
+        drain_grace_us (a draining endpoint is never sent new requests, whatever this is), answer_slack_us
+        (how long after the client's deadline a final answer may be sent), endpoints_propagate_deadlines,
+        zones, endpoint_kinds, tier and tiers.
 
     Raises:
         SettingsError: The settings are invalid; the message names the field.
@@ -242,7 +245,7 @@
     ordered_key_delay_us: int = 0
     tenants: tuple[Tenant, ...] = ()
     over_quota_weight_share: float = 1.0
-    # Not used yet.
+    # Without effect on decisions.
     load_reports: LoadReportSettings = field(default_factory=LoadReportSettings)
     may_check_health: bool = False
     may_message_peers: bool = False
--- a/load_balancer/decisions/weight_controller.py
+++ b/load_balancer/decisions/weight_controller.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-MIN_WEIGHT = 0.05  # Also the lower bound for listed weights.
+MIN_WEIGHT = 0.05  # Also the lower bound of listed weights in the estimate of requests in flight.
 MAX_WEIGHT = 1.0
 WEIGHT_INCREASE = 0.02  # Added for a prompt, successful answer.
-WEIGHT_DECREASE_FACTOR = 0.7  # Multiplied for a failure or a slow answer.
+WEIGHT_DECREASE_FACTOR = 0.7  # Factor for a failure or a slow answer.
 WEIGHT_UNIT = 2**57  # Weights times this are integers, whose sum stays exact however often weights change.
 
 
--- a/load_balancer/gateway/attempt_sender.py
+++ b/load_balancer/gateway/attempt_sender.py
@@ -57,8 +57,8 @@
     def send(self, request: PendingRequest, action: Send) -> None:
         """Start an attempt, or report it as not sent.
 
-        It is not sent if the client has disconnected, the deadline has passed or the request has had as many
-        attempts as the settings allow.
+        It is not sent if the request has been answered, its client has disconnected, its deadline has passed
+        or it has had as many attempts as the settings allow.
         """
         number = len(request.attempts)
         sent_us = self._clock.now_us()
--- a/load_balancer/gateway/client_connection.py
+++ b/load_balancer/gateway/client_connection.py
@@ -52,7 +52,8 @@
         transport: None until the connection is open.
         waiting: Requests that have been read and are queued.
         current: The request being served.
-        is_over_limit: Whether there are too many connections, so that every request is answered 503.
+        is_over_limit: Whether there are too many connections, so that every request except a readiness check
+            is answered 503.
         is_lingering: Whether the last answer has been written.
         lingering_close: Closes the connection after that.
         is_closing_when_idle: Whether it will be closed unless another request arrives first.
--- a/load_balancer/gateway/discovery.py
+++ b/load_balancer/gateway/discovery.py
@@ -72,7 +72,7 @@
         self._polls: set[DiscoveryCall] = set()
 
     def start(self, cached_list: dict[str, Any]) -> None:
-        """Publish a cached list, which has the form of a message of discovery, and watch a pushed list."""
+        """Publish a cached list, in the form of a discovery message; open the watch if the list is pushed."""
         event = parse_list({"endpoints": [], **cached_list, "snapshot": True}, self._names, ListKind.CACHED)
         self._index = event.index
         self._publish(event)
--- a/load_balancer/gateway/discovery_call.py
+++ b/load_balancer/gateway/discovery_call.py
@@ -29,7 +29,7 @@
         address: Where discovery accepts connections.
         target: Path and query of the request.
         on_message: Called with the text of one message; returns whether it could be read.
-        on_failure: Called at most once, when the call has ended without having been closed.
+        on_failure: Called at most once, when the call has failed or the message of a poll could not be read.
 
     Attributes:
         is_closed: Whether the call is over and reports nothing more.
--- a/load_balancer/gateway/incoming_request.py
+++ b/load_balancer/gateway/incoming_request.py
@@ -47,15 +47,15 @@
         """Handle the head of a request."""
 
     def request_received(self, request: IncomingRequest) -> None:
-        """Handle a complete request, or the rejection of one whose framing is lost."""
+        """Handle a complete request, or the rejection of one that is not read further."""
 
 
 class RequestReader:
     """A parser of the bytes of one connection.
 
     Attributes:
-        is_stopped: Whether further bytes are ignored, because the framing is lost or no further request is
-            expected.
+        is_stopped: Whether further bytes are ignored, because a request was rejected or no further request
+            is expected.
         has_partial_request: Whether a request has been received in part.
         has_read_request: Whether a complete request has been received.
         began_at: Loop time at which the current request began: for the first one that of connecting, for
@@ -94,7 +94,7 @@
         self.is_stopped = True
 
     def fail(self, rejection: HttpRequestError) -> None:
-        """Queue an error for the current request and read no other, as the framing is lost."""
+        """Queue an error as the answer to the current request, and ignore all further bytes."""
         if not self.is_stopped:
             self.stop()
             self._listener.request_received(IncomingRequest(keep_alive=False, rejection=rejection))
--- a/load_balancer/gateway/peers.py
+++ b/load_balancer/gateway/peers.py
@@ -1,4 +1,4 @@
-"""Messages between the gateways of a fleet, one UDP datagram each."""
+"""Messages between gateways, one UDP datagram each."""
 
 from __future__ import annotations
 
--- a/load_balancer/gateway/reload.py
+++ b/load_balancer/gateway/reload.py
@@ -38,8 +38,8 @@
     value_in: Callable[[Config], object]
 
 
-# A process cannot change its position in the network and in the fleet, how its sockets are divided among
-# clients and endpoints, or the names by which the endpoint list is read.
+# A process cannot change its position in the network and among the gateways, how its sockets are divided
+# among clients and endpoints, or the names by which the endpoint list is read.
 RESTART_ONLY_SETTINGS = (
     RestartOnlySetting("name", lambda config: config.name),
     RestartOnlySetting("listen", lambda config: config.listen),
--- a/load_balancer/gateway/request_tracker.py
+++ b/load_balancer/gateway/request_tracker.py
@@ -33,7 +33,7 @@
         settings_version: The version in force when it arrived.
         names: The names of that version.
         remaining_timeout_us: Time to its deadline when it arrived.
-        deadline_us: Time at which its client gives up, less the time for transit.
+        deadline_us: Time of its client's timeout, less the time for transit.
         send_answer: None once it has had its final answer or its client has disconnected.
         has_disconnected: Returns whether its client has closed the connection, even if the loop has not read
             that.
--- a/load_balancer/gateway/reverse_proxy.py
+++ b/load_balancer/gateway/reverse_proxy.py
@@ -58,7 +58,7 @@
     """The reverse proxy of one gateway: a Balancer and the parts that execute its actions.
 
     Attributes:
-        config: The configuration as last read.
+        config: The configuration in force.
         settings: The settings in force.
         loop: Runs the proxy.
         clock: The clock of events and deadlines.
@@ -245,7 +245,7 @@
         return request
 
     def on_watch_event(self, event: WatchEvent) -> None:
-        """Apply a message of discovery to the endpoints."""
+        """Apply a message of discovery to the connection pools, and pass it to the balancer."""
         if event.kind in (ListKind.COMPLETE, ListKind.CACHED):
             self.upstream.drain_unlisted(listed.endpoint.id for listed in event.endpoints)
         for listed in event.endpoints:
--- a/load_balancer/gateway/upstream_attempt.py
+++ b/load_balancer/gateway/upstream_attempt.py
@@ -55,7 +55,7 @@
             self._on_end(response.outcome(), response)
 
     def connection_lost(self) -> None:
-        """End without a response: the connection was lost, or its bytes were not HTTP."""
+        """End without a response: no connection could be opened, or it was lost or violated HTTP."""
         self._end_without_response(Outcome.RESET if self.written else Outcome.CONNECT_FAILED)
 
     def abandon(self, outcome: Outcome) -> None:
