--- a/lab/model/actions.py
+++ b/lab/model/actions.py
@@ -56,8 +56,8 @@
         for peer in self._gateways:
             if peer is gateway or action.gateway_index not in (None, peer.index):
                 continue
-            delay_us, draw = to_us(self._rng.uniform(*self._delay_ms) / 1e3), self._rng.random()
-            if draw >= self._network.loss and self._network.reaches(gateway.zone, peer.zone):
+            delay_us, loss_draw = to_us(self._rng.uniform(*self._delay_ms) / 1e3), self._rng.random()
+            if loss_draw >= self._network.loss and self._network.reaches(gateway.zone, peer.zone):
                 event = PeerMessageReceived(gateway.index, action.data)
                 self._clock.call_at(self._clock.now_us + delay_us, self._deliver, peer, event)
 
@@ -84,15 +84,15 @@
         """Begin one."""
         self._record.costs["probes"] += 1
         endpoint = self._fleet.by_id(endpoint_id)
-        takes_us = 2 * self._network.delay_us(gateway.zone, endpoint) + round(self._work_us)
+        duration_us = 2 * self._network.delay_us(gateway.zone, endpoint) + round(self._work_us)
         outcome, load = Outcome.OK, endpoint.load_report()
         if endpoint.up and self._network.reaches_endpoint(gateway.zone, endpoint):
             endpoint.worked_us += self._work_us
         else:
             outcome, load = Outcome.CONNECT_FAILED, ()
-            takes_us = self._connect_timeout_us
-        event = HealthCheckEnded(endpoint_id, outcome, takes_us, load)
-        self._clock.call_at(self._clock.now_us + takes_us, self._end, gateway, gateway.epoch, event)
+            duration_us = self._connect_timeout_us
+        event = HealthCheckEnded(endpoint_id, outcome, duration_us, load)
+        self._clock.call_at(self._clock.now_us + duration_us, self._end, gateway, gateway.epoch, event)
 
     def _end(self, gateway: ModelGateway, epoch: int, event: HealthCheckEnded) -> None:
         if gateway.epoch == epoch:
@@ -132,7 +132,7 @@
             case Reject() | Fail():
                 self._answer(gateway, action)
             case SetTimer():
-                self._clock.call_at(action.due_us, self._fire, gateway, gateway.epoch, action.token)
+                self._clock.call_at(action.due_us, self._deliver_timer, gateway, gateway.epoch, action.token)
             case SendPeerMessage():
                 self._peers.send(gateway, action)
             case SubscribeEndpoints() | PollEndpoints():
@@ -140,12 +140,12 @@
             case StartHealthCheck():
                 self._health_checks.start(gateway, action.endpoint_id)
             case CloseIdleConnections():
-                gateway.idle.close(self._fleet.index_of[action.endpoint_id])
+                gateway.idle_connections.close(self._fleet.index_of[action.endpoint_id])
 
     def _answer(self, gateway: ModelGateway, action: Reject | Fail) -> None:
         request = gateway.requests.get(action.request_id)
         if request is None:
-            self._rules.report(Rule.FAULT, gateway.index, f"{action.request_id} is not known there")
+            self._rules.report(Rule.INVALID_ACTION, gateway.index, f"{action.request_id} is not known there")
             return
         self._rules.check_answer(request, isinstance(action, Reject))
         if request.finished:
@@ -164,6 +164,6 @@
             gateway.watching = False
             gateway.last_call_us = self._clock.now_us
 
-    def _fire(self, gateway: ModelGateway, epoch: int, token: int) -> None:
+    def _deliver_timer(self, gateway: ModelGateway, epoch: int, token: int) -> None:
         if gateway.epoch == epoch:
             gateway.deliver(TimerFired(token))
--- a/lab/model/attempt_checks.py
+++ b/lab/model/attempt_checks.py
@@ -23,8 +23,8 @@
     def check(self, gateway: ModelGateway, request: GatewayRequest, endpoint: ModelEndpoint) -> None:
         """Check an attempt that is about to be sent."""
         scope = request.request_class.scope
-        attempted = [self._fleet.endpoints[attempt.endpoint_index] for attempt in request.attempts]
-        groups = [deduplication_group(scope, earlier) for earlier in attempted]
+        attempted_endpoints = [self._fleet.endpoints[attempt.endpoint_index] for attempt in request.attempts]
+        groups = [deduplication_group(scope, earlier) for earlier in attempted_endpoints]
         self._rules.check_send(request, deduplication_group(scope, endpoint), groups)
         endpoint_id = self._fleet.ids[endpoint.index]
         notified_us = gateway.stop_notified_us.get(endpoint_id)
@@ -34,10 +34,10 @@
                 notified_us = assumed.notified_us
         self._rules.check_target(gateway.index, endpoint.index, notified_us)
 
-    def knows_start(self, gateway: ModelGateway, endpoint: ModelEndpoint) -> bool:
+    def knows_last_start(self, gateway: ModelGateway, endpoint: ModelEndpoint) -> bool:
         """Whether the gateway has been notified, or counts as notified, of an endpoint's last start."""
         endpoint_id = self._fleet.ids[endpoint.index]
-        entry = gateway.list.get(endpoint_id)
+        entry = gateway.endpoint_list.get(endpoint_id)
         if entry is not None and entry.started_us == endpoint.started_us:
             return True
         assumed = self._registry.assumed_notice(gateway, endpoint_id)
--- a/lab/model/attempts.py
+++ b/lab/model/attempts.py
@@ -24,7 +24,7 @@
 
 REUSABLE = frozenset({Outcome.OK, Outcome.ERROR, Outcome.REJECTED})  # the connection can be used again
 ATTEMPTS_PER_TRY = 4  # that draw losses of their own
-HANDSHAKE_WAYS = 3  # one-way delays until a request over a new connection has arrived
+HANDSHAKE_ONE_WAY_DELAYS = 3  # one-way delays until a request over a new connection has arrived
 
 
 class EndAttempt(Protocol):
@@ -64,23 +64,23 @@
         """Begin an attempt."""
         request, now_us = gateway.requests.get(action.request_id), self._clock.now_us
         if request is None or action.endpoint_id not in gateway.known_ids:
-            what = f"{action.request_id} or {action.endpoint_id} is not known there"
-            self._rules.report(Rule.FAULT, gateway.index, what)
+            description = f"{action.request_id} or {action.endpoint_id} is not known there"
+            self._rules.report(Rule.INVALID_ACTION, gateway.index, description)
             return
         endpoint = self._fleet.by_id(action.endpoint_id)
         self._checks.check(gateway, request, endpoint)
-        number = len(request.attempts)
+        attempt_number = len(request.attempts)
         attempt = Attempt(endpoint.index, now_us)
         request.attempts.append(attempt)
-        end = partial(self._end, gateway, gateway.epoch, request, number)
-        left_us = request.deadline_us - now_us
-        if request.finished or left_us <= 0 or number >= gateway.settings.max_attempts:
+        end = partial(self._end, gateway, gateway.epoch, request, attempt_number)
+        remaining_us = request.deadline_us - now_us
+        if request.finished or remaining_us <= 0 or attempt_number >= gateway.settings.max_attempts:
             self._clock.call_at(now_us, end, Outcome.NOT_SENT)
             return
         self._record.costs["attempts"] += 1
-        self._record.costs["repeats"] += number > 0
+        self._record.costs["repeats"] += attempt_number > 0
         self._record.costs["crossings"] += endpoint.zone != gateway.zone
-        timeout_us = min(left_us, action.timeout_us or left_us)
+        timeout_us = min(remaining_us, action.timeout_us or remaining_us)
         self._clock.call_at(now_us + max(0, timeout_us), end, Outcome.TIMEOUT)
         self._transmit(gateway, request, attempt, end)
 
@@ -88,13 +88,13 @@
         """Cancel an attempt; its outcome is an event of its own."""
         request = gateway.requests.get(action.request_id)
         if request is None or not 0 <= action.attempt < len(request.attempts):
-            what = f"{action.request_id} cancelled, but never sent"
-            self._rules.report(Rule.FAULT, gateway.index, what)
+            description = f"{action.request_id} cancelled, but never sent"
+            self._rules.report(Rule.INVALID_ACTION, gateway.index, description)
             return
         end = partial(self._end, gateway, gateway.epoch, request, action.attempt)
         self._clock.call_at(self._clock.now_us, end, Outcome.CANCELLED)
 
-    def reset_all(self, gateway: ModelGateway, request: GatewayRequest) -> None:
+    def reset_attempts(self, gateway: ModelGateway, request: GatewayRequest) -> None:
         """End the attempts of a request whose gateway has died."""
         for attempt in request.attempts:
             if attempt.outcome is None:
@@ -105,7 +105,7 @@
     ) -> None:
         """Over an idle connection, or a new one."""
         endpoint, now_us = self._fleet.endpoints[attempt.endpoint_index], self._clock.now_us
-        idle = gateway.idle.take(endpoint.index)
+        idle = gateway.idle_connections.pop_latest(endpoint.index)
         if idle is None:
             connected = self._connect(gateway, endpoint, attempt, end)
         else:
@@ -122,21 +122,21 @@
             self._terms.handshake_ms * 1e3 if idle is None else 0.0,
             self._workload.blocked_us[row],
             self._workload.fails[row],
-            self._checks.knows_start(gateway, endpoint),
+            self._checks.knows_last_start(gateway, endpoint),
             gateway.index,
             partial(self._return_answer, gateway, endpoint, request, attempt, end),
             partial(self._return_reset, gateway, endpoint, end),
         )
-        ways = HANDSHAKE_WAYS if idle is None else 1
-        self._clock.call_at(now_us + ways * delay_us, self._arrive, gateway, endpoint, attempt, end)
+        one_way_delays = HANDSHAKE_ONE_WAY_DELAYS if idle is None else 1
+        self._clock.call_at(now_us + one_way_delays * delay_us, self._arrive, gateway, endpoint, attempt, end)
 
     def _reuse(
         self, gateway: ModelGateway, endpoint: ModelEndpoint, attempt: Attempt, epoch: int, end: EndAttempt
     ) -> bool:
         """Take an idle connection; False where its process has gone in silence and another resets it."""
         attempt.connection_epoch = epoch
-        reached = self._network.reaches_endpoint(gateway.zone, endpoint)
-        if epoch == endpoint.epoch or not endpoint.up or not reached:
+        reachable = self._network.reaches_endpoint(gateway.zone, endpoint)
+        if epoch == endpoint.epoch or not endpoint.up or not reachable:
             return True
         attempt.connection_epoch = None
         delay_us = self._network.delay_us(gateway.zone, endpoint)
@@ -161,15 +161,15 @@
 
     def _is_lost(self, request: GatewayRequest, attempt: Attempt, leg: int) -> bool:
         """Whether a request (leg 0) or its answer (leg 1) is lost."""
-        drawn = request.try_number * ATTEMPTS_PER_TRY + request.attempts.index(attempt)
-        column = drawn % ATTEMPTS * 2 + leg
+        attempt_index = request.try_number * ATTEMPTS_PER_TRY + request.attempts.index(attempt)
+        column = attempt_index % ATTEMPTS * 2 + leg
         return bool(self._workload.loss[request.client_request, column] < self._network.loss)
 
     def _arrive(
         self, gateway: ModelGateway, endpoint: ModelEndpoint, attempt: Attempt, end: EndAttempt
     ) -> None:
-        reached = self._network.reaches_endpoint(gateway.zone, endpoint)
-        if attempt.outcome is not None or not reached or attempt.job is None:
+        reachable = self._network.reaches_endpoint(gateway.zone, endpoint)
+        if attempt.outcome is not None or not reachable or attempt.job is None:
             return
         if attempt.connection_epoch != endpoint.epoch:
             self._return_reset(gateway, endpoint, end)
@@ -204,22 +204,24 @@
         gateway: ModelGateway,
         epoch: int,
         request: GatewayRequest,
-        number: int,
+        attempt_number: int,
         outcome: Outcome,
         load: LoadReport = (),
     ) -> None:
         """End an attempt; its first outcome counts."""
-        attempt = request.attempts[number]
+        attempt = request.attempts[attempt_number]
         if attempt.outcome is not None or gateway.epoch != epoch:
             return
         self._release(gateway, attempt, outcome)
         if outcome is Outcome.OK and not request.finished:
-            self._record.useful_us += attempt.job.work_us if attempt.job is not None else 0.0
+            self._record.useful_work_us += attempt.job.work_us if attempt.job is not None else 0.0
             self._clients.finish(request, RequestEnd.SERVED)
-        took_us = self._clock.now_us - attempt.sent_us
+        duration_us = self._clock.now_us - attempt.sent_us
         endpoint_id = self._fleet.ids[attempt.endpoint_index]
         gateway.deliver(
-            AttemptEnded(request.id, number, endpoint_id, outcome, took_us, request.finished, load)
+            AttemptEnded(
+                request.id, attempt_number, endpoint_id, outcome, duration_us, request.finished, load
+            )
         )
 
     def _release(self, gateway: ModelGateway, attempt: Attempt, outcome: Outcome) -> None:
@@ -228,10 +230,10 @@
         attempt.outcome = outcome
         if attempt.connection_epoch is not None and attempt.connection_epoch == endpoint.epoch:
             if outcome in REUSABLE:
-                gateway.idle.add(endpoint, self._clock.now_us)
+                gateway.idle_connections.add(endpoint, self._clock.now_us)
             else:
                 endpoint.connections -= 1
-        reached = self._network.reaches_endpoint(gateway.zone, endpoint)
-        if outcome not in REUSABLE and attempt.job is not None and reached:
+        reachable = self._network.reaches_endpoint(gateway.zone, endpoint)
+        if outcome not in REUSABLE and attempt.job is not None and reachable:
             delay_us = self._network.delay_us(gateway.zone, endpoint)
             self._clock.call_at(self._clock.now_us + delay_us, endpoint.drop, attempt.job)
--- a/lab/model/commands.py
+++ b/lab/model/commands.py
@@ -16,7 +16,7 @@
 from lab.model.errors import ScenarioError, UsageError
 from lab.model.knobs import parse_knob
 from lab.model.policies import POLICIES
-from lab.model.results import Result, of_policy
+from lab.model.results import Result, results_of_policy
 from lab.model.scenario import Scenario
 from lab.tables import table
 
@@ -24,7 +24,7 @@
 @click.command("run")
 @click.argument("scenario_name", metavar="SCENARIO")
 @click.option(
-    "--policy", "names", multiple=True, type=click.Choice(list(POLICIES)), help="[default: the file's]"
+    "--policy", "policy_names", multiple=True, type=click.Choice(list(POLICIES)), help="[default: the file's]"
 )
 @click.option("--seeds", type=click.IntRange(1, 100_000), help="From 1 to this [default: the file's, 5]")
 @click.option("--jobs", type=click.IntRange(1, 256), default=4, show_default=True, help="Worker processes.")
@@ -39,7 +39,7 @@
 )
 def run_command(
     scenario_name: str,
-    names: tuple[str, ...],
+    policy_names: tuple[str, ...],
     seeds: int | None,
     jobs: int,
     knobs: tuple[str, ...],
@@ -49,10 +49,12 @@
 
     Results are kept as JSON lines; a run that was cut off goes on from them. The figures are the model's own.
     """
-    before = signal.signal(signal.SIGTERM, signal.default_int_handler)  # so that the workers are ended too
+    previous_handler = signal.signal(
+        signal.SIGTERM, signal.default_int_handler
+    )  # so that the workers are ended too
     try:
-        plan = make_plan(scenario_name, names, seeds, knobs)
-        found = play_plan(plan, out, jobs)
+        plan = make_plan(scenario_name, policy_names, seeds, knobs)
+        results = run_with_progress(plan, out, jobs)
     except (ScenarioError, UsageError) as error:
         raise click.UsageError(str(error)) from None
     except OSError as error:
@@ -64,15 +66,15 @@
         print("lab: interrupted; the same command goes on from here", file=sys.stderr)
         return 130
     finally:
-        signal.signal(signal.SIGTERM, before)
-    found.sort(key=lambda r: (plan.policies.index(r["policy"]), r["seed"]))
-    print_results(plan, found)
-    return 1 if any("crash" in result for result in found) else 0
+        signal.signal(signal.SIGTERM, previous_handler)
+    results.sort(key=lambda r: (plan.policies.index(r["policy"]), r["seed"]))
+    print_results(plan, results)
+    return 1 if any("crash" in result for result in results) else 0
 
 
 def make_plan(
-    scenario_name: str, names: tuple[str, ...], seeds: int | None, knobs: tuple[str, ...]
-) -> experiment.Plan:
+    scenario_name: str, policy_names: tuple[str, ...], seeds: int | None, knobs: tuple[str, ...]
+) -> experiment.ExperimentPlan:
     """The plan of a run: the scenario's own policies and seeds where none are given.
 
     Raises:
@@ -80,20 +82,20 @@
         UsageError: A knob cannot be used.
     """
     scenario = scenario_files.load(scenario_files.find(scenario_name))
-    return experiment.Plan(
+    return experiment.ExperimentPlan(
         scenario,
-        tuple(dict.fromkeys(names or check_policies(scenario, scenario_name))),
+        tuple(dict.fromkeys(policy_names or check_policies(scenario, scenario_name))),
         seeds or scenario.seeds,
         tuple(parse_knob(text) for text in knobs),
     )
 
 
-def play_plan(plan: experiment.Plan, out: Path, jobs: int) -> list[Result]:
+def run_with_progress(plan: experiment.ExperimentPlan, out: Path, jobs: int) -> list[Result]:
     """Play what the folder does not hold yet, with a progress bar and the pace on standard error."""
     experiment.read_finished(plan, out)
     out.mkdir(parents=True, exist_ok=True)
-    began, events, new = time.monotonic(), 0, 0
-    bar = Progress(
+    started_s, event_count, run_count = time.monotonic(), 0, 0
+    progress = Progress(
         TextColumn("{task.description}"),
         BarColumn(),
         MofNCompleteColumn(),
@@ -102,28 +104,33 @@
     )
 
     def advance(result: Result | None) -> None:
-        nonlocal events, new
+        nonlocal event_count, run_count
         if result is not None:
-            events, new = events + result.get("events", 0), new + 1
-        bar.advance(bar.task_ids[0])
-
-    with bar:
-        bar.add_task(plan.scenario.name, total=len(list(plan.tasks())))
-        found = experiment.run(plan, out, jobs, advance)
-    took_s = time.monotonic() - began
-    print(f"{new} days played in {took_s:.1f} s, {events / took_s:,.0f} events a second", file=sys.stderr)
-    return found
+            event_count, run_count = event_count + result.get("events", 0), run_count + 1
+        progress.advance(progress.task_ids[0])
+
+    with progress:
+        progress.add_task(plan.scenario.name, total=len(list(plan.tasks())))
+        results = experiment.run_plan(plan, out, jobs, advance)
+    took_s = time.monotonic() - started_s
+    print(
+        f"{run_count} days played in {took_s:.1f} s, {event_count / took_s:,.0f} events a second",
+        file=sys.stderr,
+    )
+    return results
 
 
-def print_results(plan: experiment.Plan, found: list[Result]) -> None:
+def print_results(plan: experiment.ExperimentPlan, results: list[Result]) -> None:
     """Print the means, the broken rules, and the policies against the first one."""
-    print(summary.summary(found))
-    for line in summary.broken_rules(found):
+    print(summary.format_summary(results))
+    for line in summary.format_violations(results):
         print(line)
     first, *others = plan.policies
     rows = []
     for other in others:
-        rows += comparison.compare(of_policy(found, first), of_policy(found, other), other)[:1]
+        rows += comparison.compare_results(
+            results_of_policy(results, first), results_of_policy(results, other), other
+        )[:1]
     if rows:
         print(f"\nAgainst {first}:")
         print(table(comparison.COMPARE_COLUMNS, rows))
@@ -164,7 +171,7 @@
     from lab.page import document  # its plots take long to import
 
     try:
-        path, notes = document.write(folder)
+        path, notes = document.write_page(folder)
     except UsageError as error:
         raise click.UsageError(str(error)) from None
     except OSError as error:
--- a/lab/model/comparison.py
+++ b/lab/model/comparison.py
@@ -7,24 +7,24 @@
 import numpy as np
 
 from lab.model.errors import UsageError
-from lab.model.results import FILE, Result, of_policy, read
-from lab.model.summary import COMPARED, figure
+from lab.model.results import RESULTS_FILE, Result, read_results_file, results_of_policy
+from lab.model.summary import COMPARED_METRICS, metric_value
 from lab.tables import table
 
 RESAMPLES = 10_000
-CONFIDENCE = 95.0  # %
-LEAST_PAIRS = 5  # fewer resampled give an interval that is far too narrow
+CONFIDENCE_PERCENT = 95.0  # %
+MIN_PAIRS = 5  # fewer resampled give an interval that is far too narrow
 LOWER_IS_BETTER = frozenset({"late", "refused", "failed", "p99_ms"})
 COMPARE_COLUMNS = ("figure", "pairs", "difference", "low", "high", "verdict")
 
 
-def interval(differences: list[float], seed: int = 0) -> tuple[float, float, float]:
+def bootstrap_interval(differences: list[float], seed: int = 0) -> tuple[float, float, float]:
     """Mean of paired differences, and the bounds of its bootstrap 95 % interval."""
     values = np.asarray(differences, dtype=np.float64)
     rng = np.random.default_rng(seed)
     means = values[rng.integers(len(values), size=(RESAMPLES, len(values)))].mean(axis=1)
-    rest = (100.0 - CONFIDENCE) / 2
-    low, high = np.percentile(means, (rest, 100.0 - rest))
+    tail_percent = (100.0 - CONFIDENCE_PERCENT) / 2
+    low, high = np.percentile(means, (tail_percent, 100.0 - tail_percent))
     return float(values.mean()), float(low), float(high)
 
 
@@ -35,50 +35,55 @@
     return "better" if (low > 0.0) != (name in LOWER_IS_BETTER) else "worse"
 
 
-def compare(first: list[Result], second: list[Result], label: str) -> list[tuple[str, ...]]:
+def compare_results(baseline: list[Result], candidate: list[Result], label: str) -> list[tuple[str, ...]]:
     """Rows on the second against the first, of the seeds that both have."""
-    by_seed = {r["seed"]: r for r in first if "crash" not in r}
+    by_seed = {r["seed"]: r for r in baseline if "crash" not in r}
     rows: list[tuple[str, ...]] = []
-    for name in COMPARED:
+    for name in COMPARED_METRICS:
         differences = []
-        for result in second:
-            other = by_seed.get(result["seed"])
-            if other is None or "crash" in result:
+        for candidate_result in candidate:
+            baseline_result = by_seed.get(candidate_result["seed"])
+            if baseline_result is None or "crash" in candidate_result:
                 continue
-            a, b = figure(other, name), figure(result, name)
-            if a is not None and b is not None:
-                differences.append(b - a)
-        if len(differences) < LEAST_PAIRS:
+            baseline_value, candidate_value = (
+                metric_value(baseline_result, name),
+                metric_value(candidate_result, name),
+            )
+            if baseline_value is not None and candidate_value is not None:
+                differences.append(candidate_value - baseline_value)
+        if len(differences) < MIN_PAIRS:
             rows.append((f"{label} {name}", str(len(differences)), "-", "-", "-", "too few pairs"))
             continue
-        middle, low, high = interval(differences)
-        cells = [f"{value:+.4f}" for value in (middle, low, high)]
+        mean_difference, low, high = bootstrap_interval(differences)
+        cells = [f"{value:+.4f}" for value in (mean_difference, low, high)]
         rows.append((f"{label} {name}", str(len(differences)), *cells, verdict(name, low, high)))
     return rows
 
 
-def compare_folders(first: Path, second: Path) -> str:
+def compare_folders(baseline: Path, candidate: Path) -> str:
     """The second against the first, policy by policy.
 
     Raises:
         UsageError: They cannot be compared.
     """
-    header, results = _read_folder(first)
-    other_header, other_results = _read_folder(second)
-    if header.get("digest") != other_header.get("digest"):
+    baseline_header, baseline_results = _read_folder(baseline)
+    candidate_header, candidate_results = _read_folder(candidate)
+    if baseline_header.get("digest") != candidate_header.get("digest"):
         raise UsageError("the folders hold runs of different scenarios: expected the same")
-    policies = dict.fromkeys(result["policy"] for result in results)
-    both = [policy for policy in policies if of_policy(other_results, policy)]
-    if not both:
+    policies = dict.fromkeys(result["policy"] for result in baseline_results)
+    common_policies = [policy for policy in policies if results_of_policy(candidate_results, policy)]
+    if not common_policies:
         raise UsageError("the folders have no policy in common: expected at least one")
     rows: list[tuple[str, ...]] = []
-    for policy in both:
-        rows += compare(of_policy(results, policy), of_policy(other_results, policy), policy)
+    for policy in common_policies:
+        rows += compare_results(
+            results_of_policy(baseline_results, policy), results_of_policy(candidate_results, policy), policy
+        )
     return table(COMPARE_COLUMNS, rows)
 
 
 def _read_folder(folder: Path) -> tuple[Result, list[Result]]:
-    header, results = read(folder / FILE)
+    header, results = read_results_file(folder / RESULTS_FILE)
     if header is None:
         raise UsageError(f"{folder}: expected a folder that lab run has written")
     return header, results
--- a/lab/model/experiment.py
+++ b/lab/model/experiment.py
@@ -17,7 +17,7 @@
 from lab.model import policies, score
 from lab.model.errors import UsageError
 from lab.model.knobs import Knob, apply_knobs
-from lab.model.results import FILE, Result, read, write
+from lab.model.results import RESULTS_FILE, Result, read_results_file, write_results_file
 from lab.model.scenario import Scenario
 from lab.model.world import World
 
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class ExperimentPlan:
     """What is to be run."""
 
     scenario: Scenario
@@ -44,7 +44,7 @@
             "scenario": self.scenario.name,
             "digest": hashlib.sha256(msgspec.json.encode(self.scenario)).hexdigest()[:16],
             "knobs": sorted(knob.text for knob in self.knobs),
-            "program": program(),
+            "program": program_digest(),
         }
 
     def tasks(self) -> Iterator[tuple[str, int]]:
@@ -52,7 +52,7 @@
         return ((policy, seed) for seed in range(1, self.seeds + 1) for policy in self.policies)
 
 
-def program() -> str:
+def program_digest() -> str:
     """A digest of the decisions' and the model's own text: results of two of them don't belong together."""
     digest = hashlib.sha256()
     for folder in (Path(load_balancer.__file__).parent, Path(__file__).parent):
@@ -61,62 +61,68 @@
     return digest.hexdigest()[:16]
 
 
-def play(scenario: Scenario, policy: str, seed: int) -> Result:
+def simulate(scenario: Scenario, policy: str, seed: int) -> Result:
     """One day; a policy that raises is named in place of its figures."""
     try:
         world = World(scenario, policies.POLICIES[policy], seed)
         world.play()
-        found = score.result(world)
+        figures = score.compute_result(world)
     except Exception as error:
-        found = {"crash": f"{type(error).__name__}: {error}"}
-    return {"policy": policy, "seed": seed, **found}
+        figures = {"crash": f"{type(error).__name__}: {error}"}
+    return {"policy": policy, "seed": seed, **figures}
 
 
-def read_finished(plan: Plan, folder: Path) -> list[Result]:
+def read_finished(plan: ExperimentPlan, folder: Path) -> list[Result]:
     """The results that a folder holds.
 
     Raises:
         UsageError: They are of another scenario, other knobs or another program.
     """
-    header, found = read(folder / FILE)
-    other = [key for key, value in plan.header.items() if header is not None and header.get(key) != value]
-    if other:
-        what = " and ".join(other)
-        raise UsageError(f"{folder / FILE} holds runs of another {what}: expected an --out of its own")
-    return found
-
-
-def run(plan: Plan, folder: Path, jobs: int, done: Callable[[Result | None], None]) -> list[Result]:
+    header, finished = read_results_file(folder / RESULTS_FILE)
+    mismatched_keys = [
+        key for key, value in plan.header.items() if header is not None and header.get(key) != value
+    ]
+    if mismatched_keys:
+        differences = " and ".join(mismatched_keys)
+        raise UsageError(
+            f"{folder / RESULTS_FILE} holds runs of another {differences}: expected an --out of its own"
+        )
+    return finished
+
+
+def run_plan(
+    plan: ExperimentPlan, folder: Path, jobs: int, on_result: Callable[[Result | None], None]
+) -> list[Result]:
     """Play what the folder does not hold yet; `done` is called with each result, None for one that was there.
 
     The file is the same for equal seeds whatever `jobs` is, and whatever was there when the run was cut off.
     """
-    path, found = folder / FILE, read_finished(plan, folder)
-    known = {(result["policy"], result["seed"]) for result in found}
-    write(path, plan.header, found)
-    tasks = [task for task in plan.tasks() if task not in known]
+    path, finished = folder / RESULTS_FILE, read_finished(plan, folder)
+    finished_runs = {(result["policy"], result["seed"]) for result in finished}
+    write_results_file(path, plan.header, finished)
+    tasks = [task for task in plan.tasks() if task not in finished_runs]
     for _ in range(len(list(plan.tasks())) - len(tasks)):
-        done(None)
+        on_result(None)
     if tasks:
         with path.open("a", encoding="utf-8") as file:
-            for result in play_all(plan, tasks, jobs):
+            for result in simulate_all(plan, tasks, jobs):
                 file.write(json.dumps(result) + "\n")
                 file.flush()
-                found.append(result)
-                done(result)
-        write(path, plan.header, found)
-    wanted = set(plan.tasks())
-    return [result for result in found if (result["policy"], result["seed"]) in wanted]
+                finished.append(result)
+                on_result(result)
+        write_results_file(path, plan.header, finished)
+    planned_runs = set(plan.tasks())
+    return [result for result in finished if (result["policy"], result["seed"]) in planned_runs]
 
 
-def play_all(plan: Plan, tasks: list[tuple[str, int]], jobs: int) -> Iterator[Result]:
+def simulate_all(plan: ExperimentPlan, tasks: list[tuple[str, int]], jobs: int) -> Iterator[Result]:
     """Yield the results as they come, from worker processes that apply the plan's knobs first."""
     context = multiprocessing.get_context("spawn")
     pool = ProcessPoolExecutor(
         min(jobs, len(tasks)), context, initializer=initialize_worker, initargs=(plan.knobs,)
     )
     try:
-        futures: list[Future[Result]] = [pool.submit(play, plan.scenario, *task) for task in tasks]
+        futures: list[Future[Result]] = [pool.submit(simulate, plan.scenario, *task) for task in tasks]
         for future in as_completed(futures):
             yield future.result()
     finally:
--- a/lab/model/gateway.py
+++ b/lab/model/gateway.py
@@ -35,7 +35,7 @@
         """Keep a connection to the endpoint's present process."""
         self._idle.setdefault(endpoint.index, []).append(IdleConnection(now_us, endpoint.epoch))
 
-    def take(self, endpoint_index: int) -> IdleConnection | None:
+    def pop_latest(self, endpoint_index: int) -> IdleConnection | None:
         """The connection that was used last, or None."""
         idle = self._idle.get(endpoint_index)
         return idle.pop() if idle else None
@@ -49,19 +49,19 @@
         for endpoint_index in self._idle:
             self.close(endpoint_index)
 
-    def close_older(self, limit_us: int) -> None:
+    def close_idle_since(self, limit_us: int) -> None:
         """Close those that have been idle since a time or longer."""
         for endpoint_index, idle in self._idle.items():
-            self._close_oldest(endpoint_index, sum(one.since_us <= limit_us for one in idle))
+            self._close_oldest(endpoint_index, sum(connection.since_us <= limit_us for connection in idle))
 
-    def forget(self, endpoint_index: int) -> None:
+    def discard(self, endpoint_index: int) -> None:
         """Drop those to an endpoint whose process has closed them itself."""
         self._idle.pop(endpoint_index, None)
 
     def _close_oldest(self, endpoint_index: int, count: int) -> None:
         if count:
             idle, endpoint = self._idle[endpoint_index], self._endpoints[endpoint_index]
-            endpoint.connections -= sum(one.epoch == endpoint.epoch for one in idle[:count])
+            endpoint.connections -= sum(connection.epoch == endpoint.epoch for connection in idle[:count])
             del idle[:count]
 
 
@@ -83,7 +83,7 @@
         self.zone = settings.zone
         self.settings = settings
         self.epoch = 0  # number of processes that have ended
-        self.list = {entry.id: entry for entry in listed}
+        self.endpoint_list = {entry.id: entry for entry in listed}
         self.discovery_index = 0  # changes of the list that it has received
         self._clock = clock
         self._endpoints = endpoints
@@ -97,22 +97,22 @@
         now_us = self._clock.now_us
         self.up = True
         self.policy: Policy = self._create_policy(self.settings, int(self._seeds.integers(2**31)))
-        self.known_ids = set(self.list)  # all that a list of this process has named
+        self.known_ids = set(self.endpoint_list)  # all that a list of this process has named
         self.stop_notified_us = {  # when it was notified that an endpoint drains or is gone
-            n: now_us for n, e in self.list.items() if e.status is not EndpointStatus.READY
+            n: now_us for n, e in self.endpoint_list.items() if e.status is not EndpointStatus.READY
         }
         self.watching: bool = self.settings.endpoints_are_pushed
         self.last_call_us = now_us  # to discovery
         self.call_failed = False
-        self.idle = IdleConnections(self._endpoints)
+        self.idle_connections = IdleConnections(self._endpoints)
         self.requests: dict[str, GatewayRequest] = {}
-        self.deliver(EndpointListReceived(ListKind.CACHED, tuple(self.list.values())))
+        self.deliver(EndpointListReceived(ListKind.CACHED, tuple(self.endpoint_list.values())))
 
     def stop(self) -> list[GatewayRequest]:
         """End the process; returns the requests that it held."""
         self.up = False
         self.epoch += 1
-        self.idle.close_all()
+        self.idle_connections.close_all()
         requests, self.requests = self.requests, {}
         return list(requests.values())
 
@@ -125,8 +125,8 @@
         """Record what discovery lists and when, then deliver it."""
         now_us = self._clock.now_us
         if event.kind is ListKind.COMPLETE:
-            for endpoint_id in self.list.keys() - {entry.id for entry in event.endpoints}:
-                del self.list[endpoint_id]
+            for endpoint_id in self.endpoint_list.keys() - {entry.id for entry in event.endpoints}:
+                del self.endpoint_list[endpoint_id]
                 self.stop_notified_us.setdefault(endpoint_id, now_us)
         for entry in event.endpoints:
             if entry.status is EndpointStatus.READY:
@@ -134,8 +134,8 @@
             else:
                 self.stop_notified_us.setdefault(entry.id, now_us)
             if entry.status is EndpointStatus.GONE:
-                self.list.pop(entry.id, None)
+                self.endpoint_list.pop(entry.id, None)
             else:
-                self.list[entry.id] = entry
+                self.endpoint_list[entry.id] = entry
                 self.known_ids.add(entry.id)
         self.deliver(event)
--- a/lab/model/knobs.py
+++ b/lab/model/knobs.py
@@ -80,8 +80,8 @@
 
 def decision_modules() -> Iterator[ModuleType]:
     """Yield all modules of the decisions: those that use a constant hold it under the same name."""
-    for found in pkgutil.iter_modules(decisions.__path__):
-        yield importlib.import_module(f"{decisions.__name__}.{found.name}")
+    for module_info in pkgutil.iter_modules(decisions.__path__):
+        yield importlib.import_module(f"{decisions.__name__}.{module_info.name}")
 
 
 @dataclass(frozen=True, slots=True)
@@ -100,8 +100,8 @@
     @property
     def constant(self) -> tuple[str, str]:
         """The module of the decisions and the constant's name there, whichever name the command used."""
-        spelling = f"{self.module}.{self.name}"
-        module, _, name = OLD_KNOBS.get(spelling, spelling).partition(".")
+        knob_name = f"{self.module}.{self.name}"
+        module, _, name = OLD_KNOBS.get(knob_name, knob_name).partition(".")
         return f"{decisions.__name__}.{module}", name
 
 
@@ -111,21 +111,21 @@
     Raises:
         UsageError: The text has another form, there is no such constant, or the value is of another type.
     """
-    found = re.fullmatch(r"([a-z][a-z_]*)\.([A-Z][A-Z0-9_]*)=(\S+)", text)
-    if found is None:
+    match = re.fullmatch(r"([a-z][a-z_]*)\.([A-Z][A-Z0-9_]*)=(\S+)", text)
+    if match is None:
         raise UsageError(f"--knob {text}: expected MODULE.NAME=NUMBER, as circuit_breaker.RING_SIZE=20")
-    module, name, digits = found.groups()
-    path, constant = Knob(module, name, 0).constant
+    module, name, number_text = match.groups()
+    module_path, constant_name = Knob(module, name, 0).constant
     modules = {module.__name__: module for module in decision_modules()}
-    if path not in modules:
+    if module_path not in modules:
         raise UsageError(f"--knob {text}: there is no constant {module}.{name}")
-    before = getattr(modules[path], constant, None)
-    if isinstance(before, bool) or not isinstance(before, int | float):
-        raise UsageError(f"--knob {text}: {path} has no number {constant}")
+    current_value = getattr(modules[module_path], constant_name, None)
+    if isinstance(current_value, bool) or not isinstance(current_value, int | float):
+        raise UsageError(f"--knob {text}: {module_path} has no number {constant_name}")
     try:
-        value = int(digits) if isinstance(before, int) else float(digits)
+        value = int(number_text) if isinstance(current_value, int) else float(number_text)
     except ValueError:
-        raise UsageError(f"--knob {text}: expected {type(before).__name__} for {name}") from None
+        raise UsageError(f"--knob {text}: expected {type(current_value).__name__} for {name}") from None
     if not np.isfinite(value):
         raise UsageError(f"--knob {text}: expected a finite number for {name}")
     return Knob(module, name, value)
--- a/lab/model/lifecycle.py
+++ b/lab/model/lifecycle.py
@@ -66,7 +66,7 @@
 
     def _forget_idle(self, endpoint: ModelEndpoint) -> None:
         for gateway in self._gateways:
-            gateway.idle.forget(endpoint.index)
+            gateway.idle_connections.discard(endpoint.index)
 
     def _report(self, endpoint: ModelEndpoint, status: EndpointStatus) -> None:
         self._registry.report_status(endpoint, self._fleet.ids[endpoint.index], status)
@@ -86,7 +86,7 @@
             return
         self._front.note_down(gateway)
         for request in gateway.stop():
-            self._attempts.reset_all(gateway, request)
+            self._attempts.reset_attempts(gateway, request)
             if not request.finished:
                 self._clients.finish(request, RequestEnd.UNREACHABLE)
 
--- a/lab/model/results.py
+++ b/lab/model/results.py
@@ -9,12 +9,12 @@
 
 from lab.model.errors import UsageError
 
-FILE = "results.jsonl"
+RESULTS_FILE = "results.jsonl"
 
 Result = dict[str, Any]
 
 
-def read(path: Path) -> tuple[Result | None, list[Result]]:
+def read_results_file(path: Path) -> tuple[Result | None, list[Result]]:
     """Header and results of a file; a last line that was cut off is left out.
 
     Raises:
@@ -25,17 +25,17 @@
     lines = path.read_bytes().split(b"\n") if path.exists() else []
     for index, line in enumerate(lines[:-1]):  # the last one has no end yet, or is empty
         try:
-            found = json.loads(line)
+            fields = json.loads(line)
             if index == 0:
-                header = {"scenario": found["scenario"], **found}
+                header = {"scenario": fields["scenario"], **fields}
             else:
-                results.append({"policy": str(found["policy"]), "seed": int(found["seed"]), **found})
+                results.append({"policy": str(fields["policy"]), "seed": int(fields["seed"]), **fields})
         except (ValueError, KeyError, TypeError):
             raise UsageError(f"{path}: line {index + 1}: expected a result as JSON") from None
     return header, results
 
 
-def write(path: Path, header: Result, results: Iterable[Result]) -> None:
+def write_results_file(path: Path, header: Result, results: Iterable[Result]) -> None:
     """Write the whole file, in order of policy and seed, and put it in place at once."""
     ordered = sorted(results, key=lambda r: (r["policy"], r["seed"]))
     draft = path.with_suffix(".draft")
@@ -43,6 +43,6 @@
     draft.replace(path)
 
 
-def of_policy(results: Iterable[Result], policy: str) -> list[Result]:
+def results_of_policy(results: Iterable[Result], policy: str) -> list[Result]:
     """The results of one policy."""
     return [result for result in results if result["policy"] == policy]
--- a/lab/model/run_record.py
+++ b/lab/model/run_record.py
@@ -10,9 +10,9 @@
 class RunRecord:
     """Counters of one run; the rows are the workload's."""
 
-    def __init__(self, requests: int) -> None:
-        self.ends = [RequestEnd.LOST] * requests
-        self.latency_us = [0] * requests  # of those served
+    def __init__(self, request_count: int) -> None:
+        self.ends = [RequestEnd.LOST] * request_count
+        self.latency_us = [0] * request_count  # of those served
         self.costs: Counter[str] = Counter()
-        self.useful_us = 0.0  # endpoint work that served an answer
+        self.useful_work_us = 0.0  # endpoint work that served an answer
         self.open_connections: list[int] = []  # once a second
--- a/lab/model/samples.py
+++ b/lab/model/samples.py
@@ -10,7 +10,7 @@
 from lab.model.job import JobState
 from load_balancer.decisions.balancer import Balancer
 
-MAX_ENDPOINTS = 100  # sampled one by one; larger fleets are sampled by zone alone beyond them
+MAX_SAMPLED_ENDPOINTS = 100  # sampled one by one; larger fleets are sampled by zone alone beyond them
 
 
 def pending_work_ms(endpoint: ModelEndpoint) -> float:
@@ -24,34 +24,34 @@
     """Lists by second; of the load, one row a second with a column an endpoint or a zone."""
 
     def __init__(self) -> None:
-        self.endpoints: dict[str, list[list[int]]] = {"waiting": [], "work_ms": []}
-        self.zones: dict[str, list[list[int]]] = {"waiting": [], "work_ms": []}
+        self.endpoint_load: dict[str, list[list[int]]] = {"waiting": [], "work_ms": []}
+        self.zone_load: dict[str, list[list[int]]] = {"waiting": [], "work_ms": []}
         self.guards: dict[str, list[list[float]]] = {}  # by kind: mean and most of the gateways
 
-    def take(self, fleet: EndpointFleet, gateways: Sequence[ModelGateway]) -> None:
+    def add_sample(self, fleet: EndpointFleet, gateways: Sequence[ModelGateway]) -> None:
         """Add one second: load in whole requests and ms, limits in requests, what is shed as a share."""
-        found = {
+        values_by_kind = {
             "waiting": [float(endpoint.waiting) for endpoint in fleet.endpoints],
             "work_ms": [pending_work_ms(endpoint) for endpoint in fleet.endpoints],
         }
-        for what, values in found.items():
-            sums = [0.0] * fleet.zones
+        for kind, values in values_by_kind.items():
+            zone_totals = [0.0] * fleet.zones
             for endpoint, value in zip(fleet.endpoints, values, strict=True):
-                sums[endpoint.zone] += value
-            self.endpoints[what].append([round(value) for value in values[:MAX_ENDPOINTS]])
-            self.zones[what].append([round(value) for value in sums])
-        self._take_guards(gateways)
+                zone_totals[endpoint.zone] += value
+            self.endpoint_load[kind].append([round(value) for value in values[:MAX_SAMPLED_ENDPOINTS]])
+            self.zone_load[kind].append([round(value) for value in zone_totals])
+        self._add_guard_sample(gateways)
 
-    def _take_guards(self, gateways: Sequence[ModelGateway]) -> None:
+    def _add_guard_sample(self, gateways: Sequence[ModelGateway]) -> None:
         """Those of the gateways that are up, and none where the policy is not the Balancer's."""
         if not any(isinstance(gateway.policy, Balancer) for gateway in gateways):
             return
-        held = [g.policy for g in gateways if g.up and isinstance(g.policy, Balancer)]
-        for what, values in {
-            "open": [float(p.breakers.open_count) for p in held],
-            "half-open": [float(len(p.breakers.not_closed) - p.breakers.open_count) for p in held],
-            "limit": [p.concurrency_limit.limit for p in held],
-            "shed": [p.admission.shed_share for p in held],
+        balancers = [g.policy for g in gateways if g.up and isinstance(g.policy, Balancer)]
+        for kind, values in {
+            "open": [float(p.breakers.open_count) for p in balancers],
+            "half-open": [float(len(p.breakers.not_closed) - p.breakers.open_count) for p in balancers],
+            "limit": [p.concurrency_limit.limit for p in balancers],
+            "shed": [p.admission.shed_share for p in balancers],
         }.items():
-            pair = [sum(values) / len(values), max(values)] if values else [0.0, 0.0]
-            self.guards.setdefault(what, []).append([round(value, 3) for value in pair])
+            mean_and_max = [sum(values) / len(values), max(values)] if values else [0.0, 0.0]
+            self.guards.setdefault(kind, []).append([round(value, 3) for value in mean_and_max])
--- a/lab/model/score.py
+++ b/lab/model/score.py
@@ -25,7 +25,7 @@
     "peer_bytes",
     "falls",
 )
-ENDS = ("in_time", "late", "refused", "failed", "unreachable", "lost")
+END_KINDS = ("in_time", "late", "refused", "failed", "unreachable", "lost")
 
 
 def ratio(served: float, offered: float) -> float:
@@ -34,14 +34,14 @@
 
 
 @dataclass
-class Tally:
+class RunTotals:
     """Weight offered and served of a run, as a whole and by its parts."""
 
     offered: Floats  # by second
     served: Floats
     by_class: Floats  # one row a class: served and offered
     by_tenant: Floats  # one row a tenant: served and offered, without what is over quota
-    ends: Counter[str]  # by the words of results
+    end_counts: Counter[str]  # by the words of results
     latency: Hist
 
     def parts(self) -> dict[str, float]:
@@ -51,21 +51,21 @@
             "whole": ratio(float(self.served.sum()), float(self.offered.sum())),
             "worst_window": min(
                 ratio(
-                    float(self.served[s : s + WINDOW_S].sum()),
-                    float(self.offered[s : s + WINDOW_S].sum()),
+                    float(self.served[start : start + WINDOW_S].sum()),
+                    float(self.offered[start : start + WINDOW_S].sum()),
                 )
-                for s in windows
+                for start in windows
             ),
             "worst_class": min(ratio(*pair) for pair in self.by_class.tolist()),
             "worst_tenant": min(ratio(*pair) for pair in self.by_tenant.tolist()),
         }
 
 
-def tally(world: World) -> Tally:
+def compute_totals(world: World) -> RunTotals:
     """Count the weight of all requests; prices are not taken off."""
     workload, traffic = world.workload, world.scenario.traffic
     seconds = int(np.ceil(world.scenario.seconds))
-    found = Tally(
+    totals = RunTotals(
         np.zeros(seconds),
         np.zeros(seconds),
         np.zeros((len(traffic.classes), 2)),
@@ -76,20 +76,20 @@
     for row, end in enumerate(world.record.ends):
         class_index, weight = workload.request_class[row], workload.weight[row]
         request_class, second = traffic.classes[class_index], (workload.times_us[row] - START_US) // 1_000_000
-        gain, how = 0.0, end.value
+        served_weight, end_kind = 0.0, end.value
         if end is RequestEnd.SERVED:
             latency_us = world.record.latency_us[row]
             in_time = latency_us <= request_class.latency_objective_ms * 1e3
-            gain = weight * (1.0 if in_time else request_class.late_weight_share)
-            how = "in_time" if in_time else "late"
-            found.latency.add(latency_us)
-        found.ends[how] += 1
-        found.offered[second] += weight
-        found.served[second] += gain
-        found.by_class[class_index] += (gain, weight)
+            served_weight = weight * (1.0 if in_time else request_class.late_weight_share)
+            end_kind = "in_time" if in_time else "late"
+            totals.latency.add(latency_us)
+        totals.end_counts[end_kind] += 1
+        totals.offered[second] += weight
+        totals.served[second] += served_weight
+        totals.by_class[class_index] += (served_weight, weight)
         if not workload.over_quota[row]:
-            found.by_tenant[workload.tenant[row]] += (gain, weight)
-    return found
+            totals.by_tenant[workload.tenant[row]] += (served_weight, weight)
+    return totals
 
 
 def costs(world: World) -> dict[str, float]:
@@ -101,34 +101,34 @@
         "list_lines": world.registry.lines,
         "list_calls": world.registry.calls,
         "connections": float(np.mean(record.open_connections)) if record.open_connections else 0.0,
-        "wasted_work": ratio(worked_us - record.useful_us, offered_us),
+        "wasted_work": ratio(worked_us - record.useful_work_us, offered_us),
         "chokes": sum(endpoint.chokes for endpoint in endpoints),
     }
 
 
-def result(world: World) -> dict[str, Any]:
+def compute_result(world: World) -> dict[str, Any]:
     """All figures of a run that has been played, under the keys of stored results."""
-    found = tally(world)
-    parts, count, latency = found.parts(), len(world.record.ends), found.latency
+    totals = compute_totals(world)
+    parts, count, latency = totals.parts(), len(world.record.ends), totals.latency
     weights = {name: getattr(world.scenario.objective, name) for name in parts}
-    total = sum(weights.values()) or 1.0
+    total_weight = sum(weights.values()) or 1.0
     return {
-        "G": sum(parts[name] * weight for name, weight in weights.items()) / total,
+        "G": sum(parts[name] * weight for name, weight in weights.items()) / total_weight,
         **parts,
         "asked": count,
-        "shares": {how: found.ends[how] / count if count else 0.0 for how in ENDS},
+        "shares": {end_kind: totals.end_counts[end_kind] / count if count else 0.0 for end_kind in END_KINDS},
         "p50_ms": latency.at(50) if latency.count else None,
         "p99_ms": latency.at(99) if latency.count else None,
         "latency": latency.text(),
         "costs": costs(world),
-        "broken": {"count": world.rules.count, "named": world.rules.named},
+        "broken": {"count": world.rules.violation_count, "named": world.rules.violations},
         "worth_by_s": [
             [round(offered), round(served)]
-            for offered, served in zip(found.offered.tolist(), found.served.tolist(), strict=True)
+            for offered, served in zip(totals.offered.tolist(), totals.served.tolist(), strict=True)
         ],
         "zones": list(world.scenario.zones),
-        "server_load": world.samples.endpoints,
-        "zone_load": world.samples.zones,
+        "server_load": world.samples.endpoint_load,
+        "zone_load": world.samples.zone_load,
         "guards": world.samples.guards,
         "events": world.clock.events,
     }
--- a/lab/model/world.py
+++ b/lab/model/world.py
@@ -123,8 +123,8 @@
         """Once a second: close old idle connections, count the open ones, and take a sample."""
         now_us = self.clock.now_us
         for gateway in self.gateways:
-            gateway.idle.close_older(now_us - to_us(self.scenario.fleet.keepalive_s))
+            gateway.idle_connections.close_idle_since(now_us - to_us(self.scenario.fleet.keepalive_s))
         self.record.open_connections.append(sum(e.connections for e in self.fleet.endpoints))
         if now_us <= START_US + to_us(self.scenario.seconds):
-            self.samples.take(self.fleet, self.gateways)
+            self.samples.add_sample(self.fleet, self.gateways)
         self.clock.call_at(now_us + SWEEP_US, self._sweep)
--- a/lab/page/document.py
+++ b/lab/page/document.py
@@ -7,12 +7,12 @@
 from pathlib import Path
 
 from lab.model.errors import UsageError
-from lab.model.results import FILE, read
+from lab.model.results import RESULTS_FILE, read_results_file
 from lab.page import html, plot_sections, table_sections
 from lab.page.plots import Plots
 from lab.page.view import View
 
-NAME = "report.html"
+PAGE_FILE = "report.html"
 SECTIONS: tuple[tuple[str, Callable[[Plots], str]], ...] = (
     ("Policies side by side", table_sections.side_by_side),
     ("Served worth over time", plot_sections.served_weight),
@@ -24,7 +24,7 @@
 )
 
 
-def render(view: View) -> str:
+def render_page(view: View) -> str:
     """The page's HTML."""
     name, seeds = str(view.header.get("scenario")), sorted({r["seed"] for r in view.results})
     knobs = ", ".join(map(str, view.header.get("knobs") or ())) or "none turned"
@@ -37,7 +37,7 @@
         html.note(
             "Every policy meets the same days. A line or a bar is the mean over the seeds, "
             "and the shade or the whisker reaches from the least to the most of them. A policy has one "
-            f"colour throughout: {view.key()}"
+            f"colour throughout: {view.color_legend()}"
         ),
         *(html.note(escape(note)) for note in view.notes),
     ]
@@ -48,7 +48,7 @@
     return html.document(f"Fleet model: {name}", "\n".join(parts))
 
 
-def write(folder: Path) -> tuple[Path, list[str]]:
+def write_page(folder: Path) -> tuple[Path, list[str]]:
     """Write the page of a folder of results.
 
     Returns:
@@ -57,19 +57,19 @@
     Raises:
         UsageError: There is nothing to draw.
     """
-    path = folder / FILE
-    header, results = read(path)
+    path = folder / RESULTS_FILE
+    header, results = read_results_file(path)
     if header is None or not results:
         raise UsageError(f"{folder}: expected a folder with results that lab run has written")
     notes = []
     if not path.read_bytes().endswith(b"\n"):
-        notes.append(f"{FILE}: the last line is cut off and left out")
+        notes.append(f"{RESULTS_FILE}: the last line is cut off and left out")
     try:
-        text = render(View(header, results, notes))
+        text = render_page(View(header, results, notes))
     except (KeyError, TypeError, ValueError, IndexError, AttributeError) as error:
-        why = f"{type(error).__name__}: {error}".splitlines()[0]
-        raise UsageError(f"{path}: expected results of this program's form ({why})") from None
-    page = folder / NAME
+        reason = f"{type(error).__name__}: {error}".splitlines()[0]
+        raise UsageError(f"{path}: expected results of this program's form ({reason})") from None
+    page = folder / PAGE_FILE
     draft = page.with_suffix(".draft")
     draft.write_text(text, encoding="utf-8")
     draft.replace(page)
--- a/lab/page/html.py
+++ b/lab/page/html.py
@@ -37,12 +37,18 @@
         text_column: Number from 1 of a column that is aligned to the left; 0 for none.
     """
 
-    def line(tag: str, cells: Sequence[str]) -> str:
-        kinds = [' class="text"' if number == text_column else "" for number in range(1, len(cells) + 1)]
-        return "<tr>" + "".join(f"<{tag}{k}>{c}</{tag}>" for k, c in zip(kinds, cells, strict=True)) + "</tr>"
+    def row_html(tag: str, cells: Sequence[str]) -> str:
+        class_attributes = [
+            ' class="text"' if number == text_column else "" for number in range(1, len(cells) + 1)
+        ]
+        return (
+            "<tr>"
+            + "".join(f"<{tag}{k}>{c}</{tag}>" for k, c in zip(class_attributes, cells, strict=True))
+            + "</tr>"
+        )
 
-    body = "\n".join(line("td", row) for row in rows)
-    return f'<div class="wide"><table>\n{line("th", [escape(h) for h in head])}\n{body}\n</table></div>'
+    body = "\n".join(row_html("td", row) for row in rows)
+    return f'<div class="wide"><table>\n{row_html("th", [escape(h) for h in head])}\n{body}\n</table></div>'
 
 
 def note(text: str) -> str:
@@ -50,6 +56,6 @@
     return f'<p class="note">{text}</p>'
 
 
-def count(number: int, noun: str) -> str:
+def count_noun(number: int, noun: str) -> str:
     """A number of things."""
     return f"{number} {noun}" + ("" if number == 1 else "s")
--- a/lab/page/plot_sections.py
+++ b/lab/page/plot_sections.py
@@ -12,7 +12,7 @@
 
 from lab.child import Hist
 from lab.model.results import Result
-from lab.model.summary import format_figure
+from lab.model.summary import format_metric
 from lab.page import html
 from lab.page.plots import GREY, RC_PARAMS, WIDTH, Plots, printable
 from lab.schedule import Floats
@@ -20,7 +20,7 @@
 MAX_ZONES = 12  # drawn; a fleet of more has the first ones drawn
 NINES = np.linspace(0.0, 3.0, 61)  # -log10 of the share above a percentile
 TABLE_PERCENTILES = (50, 90, 99, 99.9, 100)
-LEAST_WORK_S = 0.1  # the palest colour
+MIN_DRAWN_WORK_S = 0.1  # the palest colour
 LOAD_KINDS = (("waiting", "requests that wait", 1.0), ("work_ms", "work in hand, s", 1e-3))
 GUARD_TITLES = {
     "open": "open breakers of a gateway",
@@ -42,15 +42,15 @@
             pairs = np.array([r["worth_by_s"] for r in results], dtype=np.float64)
             offered, served = pairs[:, :, 0], pairs[:, :, 1]
             share = np.divide(served, offered, out=np.full_like(served, np.nan), where=offered > 0)
-            plots.band(upper, policy, share)
-        most = max(by_policy.values(), key=len)
-        plots.band(lower, None, np.array([r["worth_by_s"] for r in most])[:, :, 0] / 1e6)
+            plots.draw_band(upper, policy, share)
+        most_results = max(by_policy.values(), key=len)
+        plots.draw_band(lower, None, np.array([r["worth_by_s"] for r in most_results])[:, :, 0] / 1e6)
         title = "Share of the worth asked for that was served"
         upper.set(title=title, ylabel="share", ylim=(-0.02, 1.03))
         title = "Worth asked for: the same for all"
         lower.set(title=title, xlabel="second of arrival", ylabel="worth, millions")
         lower.set_ylim(bottom=0)
-        return plots.svg(figure)
+        return plots.render_svg(figure)
 
 
 def latency(plots: Plots) -> str:
@@ -58,12 +58,12 @@
     rows, curves = [], {}
     percentiles = 100.0 * (1.0 - 10.0**-NINES)
     for policy, results in plots.view.by_policy.items():
-        hists = [hist for r in results if (hist := Hist(r["latency"])).count]
-        if hists:
-            curves[policy] = np.array([[h.at(p) for p in percentiles] for h in hists])
-            for hist in hists[1:]:
-                hists[0].join(hist)
-        cells = [format_figure(hists[0].at(p) if hists else None, 0) for p in TABLE_PERCENTILES]
+        histograms = [histogram for r in results if (histogram := Hist(r["latency"])).count]
+        if histograms:
+            curves[policy] = np.array([[histogram.at(p) for p in percentiles] for histogram in histograms])
+            for histogram in histograms[1:]:
+                histograms[0].join(histogram)
+        cells = [format_metric(histograms[0].at(p) if histograms else None, 0) for p in TABLE_PERCENTILES]
         rows.append([plots.view.label(policy), *cells])
     if not curves:
         return html.NO_RESULTS
@@ -71,7 +71,7 @@
         figure = Figure((WIDTH, 3.8), layout="constrained")
         axes = figure.subplots()
         for policy, values in curves.items():
-            plots.band(axes, policy, values, NINES)
+            plots.draw_band(axes, policy, values, NINES)
         axes.set(yscale="log", xlabel="percentile of the requests served", ylabel="ms", xlim=(0, 3))
         axes.set_xticks(
             [-np.log10(1 - p) for p in (0, 0.5, 0.75, 0.9, 0.95, 0.99, 0.995, 0.999)],
@@ -79,7 +79,7 @@
         )
         axes.yaxis.set_major_formatter("{x:g}")
         axes.yaxis.set_minor_formatter(lambda value, _: f"{value:g}" if f"{value:e}"[0] in "25" else "")
-        picture = plots.svg(figure)
+        picture = plots.render_svg(figure)
     head = ("policy", "p50", "p90", "p99", "p99.9", "most")
     note = html.note("In ms, of all seeds: from the HDR histograms of the requests served.")
     return picture + html.table(head, rows) + note
@@ -112,46 +112,46 @@
         for axes, (kind, label, scale) in zip(grid[row], LOAD_KINDS, strict=True):
             for policy, results in sampled.items():
                 values = np.array([r["zone_load"][kind] for r in results])
-                plots.band(axes, policy, values[:, :, row] * scale)
+                plots.draw_band(axes, policy, values[:, :, row] * scale)
             axes.set(title=f"{printable(zone)}: {label}")
     for axes in grid[-1]:
         axes.set_ylim(bottom=0)
         axes.set_xlabel("second")
-    return plots.svg(figure)
+    return plots.render_svg(figure)
 
 
 def _plot_endpoints(plots: Plots, sampled: dict[str, list[Result]]) -> str:
-    first = {name: np.array(rs[0]["server_load"]["work_ms"]).T / 1e3 for name, rs in sampled.items()}
-    most = max(0.2, *(float(values.max()) for values in first.values()))
-    rows = max(len(values) for values in first.values())
-    figure = Figure((WIDTH, 0.6 + len(first) * max(1.1, 0.03 * rows)), layout="constrained")
-    column = figure.subplots(len(first), 1, sharex=True, squeeze=False)[:, 0]
-    for axes, (policy, values) in zip(column, first.items(), strict=True):
+    work_by_policy = {name: np.array(rs[0]["server_load"]["work_ms"]).T / 1e3 for name, rs in sampled.items()}
+    max_work_s = max(0.2, *(float(values.max()) for values in work_by_policy.values()))
+    rows = max(len(values) for values in work_by_policy.values())
+    figure = Figure((WIDTH, 0.6 + len(work_by_policy) * max(1.1, 0.03 * rows)), layout="constrained")
+    column = figure.subplots(len(work_by_policy), 1, sharex=True, squeeze=False)[:, 0]
+    for axes, (policy, values) in zip(column, work_by_policy.items(), strict=True):
         shown = axes.imshow(
-            np.maximum(values, LEAST_WORK_S),
+            np.maximum(values, MIN_DRAWN_WORK_S),
             aspect="auto",
             cmap="YlOrRd",
-            norm=LogNorm(LEAST_WORK_S, most),
+            norm=LogNorm(MIN_DRAWN_WORK_S, max_work_s),
             interpolation="nearest",
             extent=(0.5, values.shape[1] + 0.5, len(values) - 0.5, -0.5),
         )
         axes.grid(False)
         axes.set(ylabel="server")
-        axes.set_title(printable(policy), color=plots.view.colour[policy], loc="left", fontweight="bold")
+        axes.set_title(printable(policy), color=plots.view.colors[policy], loc="left", fontweight="bold")
     column[-1].set_xlabel("second")
-    bar = figure.colorbar(shown, ax=list(column), pad=0.01, aspect=5 * figure.get_figheight())
-    ticks = [tick for n in range(-1, 6) for m in (1, 2, 5) if (tick := m * 10.0**n) <= most]
-    bar.set_ticks(ticks, labels=[f"{tick:g}" for tick in ticks])
-    bar.ax.minorticks_off()
-    bar.set_label("work in hand, s (0.1 or less is palest)")
-    return plots.svg(figure, legend=False)
+    color_scale = figure.colorbar(shown, ax=list(column), pad=0.01, aspect=5 * figure.get_figheight())
+    ticks = [tick for n in range(-1, 6) for m in (1, 2, 5) if (tick := m * 10.0**n) <= max_work_s]
+    color_scale.set_ticks(ticks, labels=[f"{tick:g}" for tick in ticks])
+    color_scale.ax.minorticks_off()
+    color_scale.set_label("work in hand, s (0.1 or less is palest)")
+    return plots.render_svg(figure, legend=False)
 
 
 def guards(plots: Plots) -> str:
     """Breakers and limits of the gateways, where the policy has them."""
     guarded = plots.view.select(lambda result: bool(result.get("guards")))
-    without = [escape(name) for name in plots.view.policies if name not in guarded]
-    note = html.note(f"None to draw for {', '.join(without)}.") if without else ""
+    unguarded_policies = [escape(name) for name in plots.view.policies if name not in guarded]
+    note = html.note(f"None to draw for {', '.join(unguarded_policies)}.") if unguarded_policies else ""
     if not guarded:
         return html.NO_RESULTS + note
     with matplotlib.rc_context(RC_PARAMS):
@@ -166,7 +166,7 @@
                 axes.text(0.5, 0.5, "none at any second", **where)
             if axes.get_subplotspec().is_last_row():
                 axes.set_xlabel("second")
-        picture = plots.svg(figure, guarded)
+        picture = plots.render_svg(figure, guarded)
     text = "The line is the mean of the gateways, the dots that with the most; both are means of the seeds."
     return f"{picture}{html.note(text)}{note}"
 
@@ -174,6 +174,6 @@
 def _plot_guard(plots: Plots, axes: Axes, kind: str, guarded: dict[str, list[Result]]) -> None:
     for policy, results in guarded.items():
         values: Floats = np.array([r["guards"][kind] for r in results])
-        plots.band(axes, policy, values[:, :, 0])
+        plots.draw_band(axes, policy, values[:, :, 0])
         seconds = np.arange(1, values.shape[1] + 1)
-        axes.plot(seconds, values[:, :, 1].mean(axis=0), color=plots.view.colour[policy], lw=0.9, ls=":")
+        axes.plot(seconds, values[:, :, 1].mean(axis=0), color=plots.view.colors[policy], lw=0.9, ls=":")
--- a/lab/page/plots.py
+++ b/lab/page/plots.py
@@ -43,39 +43,41 @@
         self.view = view
         self._figures = 0
 
-    def band(self, axes: Axes, policy: str | None, values: Floats, at: Floats | None = None) -> None:
+    def draw_band(
+        self, axes: Axes, policy: str | None, values: Floats, positions: Floats | None = None
+    ) -> None:
         """Draw the mean with the range of values; a value that is not a number is left out.
 
         Args:
             axes: Where.
             policy: Whose colour; None for grey.
             values: One row a seed.
-            at: Places of the columns, by default the seconds from 1.
+            positions: Places of the columns, by default the seconds from 1.
         """
-        colour = GREY if policy is None else self.view.colour[policy]
+        line_color = GREY if policy is None else self.view.colors[policy]
         valid = np.ma.masked_invalid(values)
-        x = np.arange(1, values.shape[1] + 1) if at is None else at
-        low, middle, high = (f(axis=0).filled(np.nan) for f in (valid.min, valid.mean, valid.max))
+        x = np.arange(1, values.shape[1] + 1) if positions is None else positions
+        low, average, high = (f(axis=0).filled(np.nan) for f in (valid.min, valid.mean, valid.max))
         if len(values) > 1:
-            axes.fill_between(x, low, high, color=colour, alpha=0.13, lw=0)
-        axes.plot(x, middle, color=colour, lw=1.4)
+            axes.fill_between(x, low, high, color=line_color, alpha=0.13, lw=0)
+        axes.plot(x, average, color=line_color, lw=1.4)
 
-    def bars(
+    def draw_bars(
         self,
         names: Sequence[str],
         titles: Sequence[str],
-        value: Callable[[Result, str], float | None],
+        get_value: Callable[[Result, str], float | None],
         columns: int,
-        most: float | None = None,
+        axis_limit: float | None = None,
     ) -> str:
         """Draw a panel a name, with a bar a policy to the mean, and a whisker over the seeds' range.
 
         Args:
             names: Of the figures.
             titles: Of the panels.
-            value: The figure of a name in a result.
+            get_value: The figure of a name in a result.
             columns: Of panels.
-            most: What every axis reaches to; without it, each reaches to its own.
+            axis_limit: What every axis reaches to; without it, each reaches to its own.
         """
         by_policy = self.view.by_policy
         with matplotlib.rc_context(RC_PARAMS):
@@ -86,35 +88,39 @@
             for axes in grid.flat[len(names) :]:
                 axes.set_axis_off()
             for axes, name, title in zip(grid.flat, names, titles, strict=False):
-                longest = self._panel(axes, name, value, most)
-                axes.set(title=title, xlim=(0, (longest or 1.0) * 1.3))
+                max_value = self._draw_panel(axes, name, get_value, axis_limit)
+                axes.set(title=title, xlim=(0, (max_value or 1.0) * 1.3))
                 axes.set_yticks(range(len(by_policy)), [printable(policy) for policy in by_policy])
                 axes.grid(False)
                 axes.locator_params(axis="x", nbins=3)
             grid.flat[0].invert_yaxis()
-            return self.svg(figure, legend=False)
+            return self.render_svg(figure, legend=False)
 
-    def _panel(
-        self, axes: Axes, name: str, value: Callable[[Result, str], float | None], most: float | None
+    def _draw_panel(
+        self,
+        axes: Axes,
+        name: str,
+        get_value: Callable[[Result, str], float | None],
+        axis_limit: float | None,
     ) -> float:
         """Draw the bars of one figure; returns how far they reach."""
-        longest = most or 0.0
+        max_value = axis_limit or 0.0
         for row, (policy, results) in enumerate(self.view.by_policy.items()):
-            values = [v for r in results if (v := value(r, name)) is not None] or [0.0]
-            middle, low, high = float(np.mean(values)), min(values), max(values)
-            longest = max(longest, high)
-            axes.barh(row, middle, color=self.view.colour[policy], height=0.7)
+            values = [v for r in results if (v := get_value(r, name)) is not None] or [0.0]
+            average, low, high = float(np.mean(values)), min(values), max(values)
+            max_value = max(max_value, high)
+            axes.barh(row, average, color=self.view.colors[policy], height=0.7)
             axes.plot([low, high], [row, row], color="#333", lw=1.0)
-            text = f"{middle:.3f}" if most else f"{middle:.3g}"
+            text = f"{average:.3f}" if axis_limit else f"{average:.3g}"
             axes.annotate(text, (high, row), (4, 0), textcoords="offset points", va="center", fontsize=8)
-        return longest
+        return max_value
 
-    def svg(self, figure: Figure, policies: Iterable[str] | None = None, legend: bool = True) -> str:
+    def render_svg(self, figure: Figure, policies: Iterable[str] | None = None, legend: bool = True) -> str:
         """A figure as inline SVG, without date, outside reference or identifier that another one has."""
         names = list(self.view.by_policy if policies is None else policies)
         if legend:
             columns = max(1, min(len(names), LEGEND_CHARACTERS // (max(map(len, names)) + 8)))
-            lines = [Line2D([], [], color=self.view.colour[name], lw=2.5) for name in names]
+            lines = [Line2D([], [], color=self.view.colors[name], lw=2.5) for name in names]
             figure.legend(lines, list(map(printable, names)), loc="outside upper left", ncols=columns)
         file = io.StringIO()
         figure.savefig(file, format="svg", metadata=NO_METADATA)
--- a/lab/page/table_sections.py
+++ b/lab/page/table_sections.py
@@ -8,14 +8,14 @@
 from matplotlib.figure import Figure
 
 from lab.model import comparison, summary
-from lab.model.results import FILE, Result, of_policy
-from lab.model.summary import format_figure, mean
+from lab.model.results import RESULTS_FILE, Result, results_of_policy
+from lab.model.summary import format_metric, mean_metric
 from lab.page import html
 from lab.page.plots import RC_PARAMS, WIDTH, Plots
 from lab.page.view import View
 
 MAX_VIOLATIONS = 200  # in the table
-RULES = (
+RULE_DESCRIPTIONS = (
     "a fault: an unknown request or server is named",
     "each request has one final answer in time, and nothing is sent after it",
     "what may have run is neither sent again nor refused where its effect forbids it",
@@ -40,9 +40,9 @@
     names = ("G", "whole", "worst_window", "worst_class", "worst_tenant")
     titles = ("G", "whole", "worst 10 s", "worst class", "worst tenant")
     if view.by_policy:
-        parts.append(plots.bars(names, titles, summary.figure, columns=5, most=1.0))
+        parts.append(plots.draw_bars(names, titles, summary.metric_value, columns=5, axis_limit=1.0))
     if len(view.policies) > 1:
-        parts += _compared(view)
+        parts += _comparison_parts(view)
     return "\n".join(parts)
 
 
@@ -50,32 +50,32 @@
     results = view.by_policy.get(policy, [])
     request_count = sum(r["asked"] for r in results)
     broken = sum(r["broken"]["count"] for r in results)
-    crashed = len(of_policy(view.results, policy)) - len(results)
+    crashed = len(results_of_policy(view.results, policy)) - len(results)
     return [
         view.label(policy),
         str(len(results)),
-        *(format_figure(mean(results, name)) for name in summary.COMPARED[:8]),
-        *(format_figure(mean(results, name), 0) for name in ("p50_ms", "p99_ms")),
+        *(format_metric(mean_metric(results, name)) for name in summary.COMPARED_METRICS[:8]),
+        *(format_metric(mean_metric(results, name), 0) for name in ("p50_ms", "p99_ms")),
         *(
-            format_figure(sum(r["costs"][kind] for r in results) / request_count if request_count else None)
+            format_metric(sum(r["costs"][kind] for r in results) / request_count if request_count else None)
             for kind in ("attempts", "handshakes")
         ),
-        f"{broken}" + (f", {html.count(crashed, 'day')} crashed" if crashed else ""),
+        f"{broken}" + (f", {html.count_noun(crashed, 'day')} crashed" if crashed else ""),
     ]
 
 
-def _compared(view: View) -> list[str]:
+def _comparison_parts(view: View) -> list[str]:
     first, *others = view.policies
     compared = []
     for other in others:
-        pair = (of_policy(view.results, first), of_policy(view.results, other))
-        compared += [[escape(cell) for cell in row] for row in comparison.compare(*pair, other)[:2]]
+        pair = (results_of_policy(view.results, first), results_of_policy(view.results, other))
+        compared += [[escape(cell) for cell in row] for row in comparison.compare_results(*pair, other)[:2]]
     return [
         f"<h3>Against {escape(first)}, in pairs by seed</h3>",
         html.table(comparison.COMPARE_COLUMNS, compared),
         html.note(
             "Bootstrap 95 % interval of the mean difference; a verdict only where it "
-            f"excludes nought, and from {comparison.LEAST_PAIRS} pairs on."
+            f"excludes nought, and from {comparison.MIN_PAIRS} pairs on."
         ),
     ]
 
@@ -83,7 +83,7 @@
 def broken_rules(plots: Plots) -> str:
     """The violations by time, and a table of them."""
     view = plots.view
-    found = [
+    violations = [
         (r["policy"], r["seed"], violation)
         for results in view.by_policy.values()
         for r in results
@@ -91,27 +91,27 @@
     ]
     total = sum(r["broken"]["count"] for results in view.by_policy.values() for r in results)
     runs = sum(map(len, view.by_policy.values()))
-    rules = "".join(f"<li>{rule}: {escape(text)}</li>" for rule, text in enumerate(RULES) if rule)
+    rules = "".join(f"<li>{rule}: {escape(text)}</li>" for rule, text in enumerate(RULE_DESCRIPTIONS) if rule)
     parts = [f"<p>The model checks the four rules of WIRE on every event:</p><ul>{rules}</ul>"]
     crashes = [r for r in view.results if "crash" in r]
     if crashes:
         rows = [[view.label(r["policy"]), str(r["seed"]), escape(str(r["crash"]))] for r in crashes]
         parts.append(html.table(("policy", "seed", "crashed with"), rows, text_column=3))
-    if not found:
-        text = f"None was broken in {html.count(runs, 'day')}." if runs else "No day came to its end."
+    if not violations:
+        text = f"None was broken in {html.count_noun(runs, 'day')}." if runs else "No day came to its end."
         parts.append(f"<p>{text}</p>")
         return "\n".join(parts)
-    parts.append(_plot_violations(plots, found))
+    parts.append(_plot_violations(plots, violations))
     parts.append(
-        f"<p>{total} broken in {html.count(runs, 'day')}, of which the first of a day are named:</p>"
+        f"<p>{total} broken in {html.count_noun(runs, 'day')}, of which the first of a day are named:</p>"
     )
-    parts.append(_violation_table(view, found[:MAX_VIOLATIONS]))
-    if len(found) > MAX_VIOLATIONS:
-        parts.append(html.note(f"{len(found) - MAX_VIOLATIONS} more are named in {FILE}."))
+    parts.append(_violation_table(view, violations[:MAX_VIOLATIONS]))
+    if len(violations) > MAX_VIOLATIONS:
+        parts.append(html.note(f"{len(violations) - MAX_VIOLATIONS} more are named in {RESULTS_FILE}."))
     return "\n".join(parts)
 
 
-def _violation_table(view: View, found: list[tuple[str, int, Result]]) -> str:
+def _violation_table(view: View, violations: list[tuple[str, int, Result]]) -> str:
     rows = [
         [
             view.label(policy),
@@ -121,27 +121,27 @@
             str(violation["gateway"]),
             escape(str(violation["what"])),
         ]
-        for policy, seed, violation in found
+        for policy, seed, violation in violations
     ]
     head = ("policy", "seed", "rule", "second", "gateway", "what")
     return html.table(head, rows, text_column=6)
 
 
-def _plot_violations(plots: Plots, found: list[tuple[str, int, Result]]) -> str:
+def _plot_violations(plots: Plots, violations: list[tuple[str, int, Result]]) -> str:
     by_policy = plots.view.by_policy
     with matplotlib.rc_context(RC_PARAMS):
         figure = Figure((WIDTH, 2.6), layout="constrained")
         axes = figure.subplots()
         for row, policy in enumerate(by_policy):
-            here = [(v["at_s"], v["rule"]) for name, _, v in found if name == policy]
-            lift = (row - (len(by_policy) - 1) / 2) * 0.7 / len(by_policy)
-            times, heights = [at for at, _ in here], [rule + lift for _, rule in here]
-            axes.plot(times, heights, "|", ms=7, mew=1.6, color=plots.view.colour[policy])
-        rules = sorted({1, 2, 3, 4} | {violation["rule"] for _, _, violation in found})
+            points = [(v["at_s"], v["rule"]) for name, _, v in violations if name == policy]
+            offset = (row - (len(by_policy) - 1) / 2) * 0.7 / len(by_policy)
+            times, heights = [time_s for time_s, _ in points], [rule + offset for _, rule in points]
+            axes.plot(times, heights, "|", ms=7, mew=1.6, color=plots.view.colors[policy])
+        rules = sorted({1, 2, 3, 4} | {violation["rule"] for _, _, violation in violations})
         axes.set(xlabel="second", ylim=(4.6, min(rules) - 0.6))
         axes.set_xlim(0, max(len(r["worth_by_s"]) for results in by_policy.values() for r in results))
         axes.set_yticks(rules, [f"rule {rule}" if rule else "fault" for rule in rules])
-        return plots.svg(figure)
+        return plots.render_svg(figure)
 
 
 def costs(plots: Plots) -> str:
@@ -153,9 +153,9 @@
         dict.fromkeys(kind for results in by_policy.values() for r in results for kind in r["costs"])
     )
     titles = [PER_RUN_COSTS.get(kind, f"{kind.replace('_', ' ')} a request") for kind in kinds]
-    return plots.bars(kinds, titles, _cost, columns=3)
+    return plots.draw_bars(kinds, titles, _cost_value, columns=3)
 
 
-def _cost(result: Result, kind: str) -> float | None:
+def _cost_value(result: Result, kind: str) -> float | None:
     value = float(result["costs"].get(kind, 0))
     return value if kind in PER_RUN_COSTS else value / max(1, result["asked"])
--- a/tests/lab/model/mutants.py
+++ b/tests/lab/model/mutants.py
@@ -28,43 +28,43 @@
 class SendsAfterEnd(ReferencePolicy):
     def handle(self, now_us: int, event: Event) -> list[Action]:
         if isinstance(event, RequestArrived):
-            return [Reject(event.request_id), Send(event.request_id, self.listed[0], 1_000)]
+            return [Reject(event.request_id), Send(event.request_id, self.ready_endpoints[0], 1_000)]
         return super().handle(now_us, event)
 
 
 class ResendsUnsafe(ReferencePolicy):
     """Sends again what may have run, whatever its effect."""
 
-    def on_end(self, now_us: int, event: AttemptEnded) -> list[Action]:
-        request = self.open.get(event.request_id)
+    def on_attempt_end(self, now_us: int, event: AttemptEnded) -> list[Action]:
+        request = self.open_requests.get(event.request_id)
         if request is not None and event.outcome is Outcome.ERROR and self.is_unsafe(request):
-            return self.send(now_us, event.request_id)
-        return super().on_end(now_us, event)
+            return self.send_attempt(now_us, event.request_id)
+        return super().on_attempt_end(now_us, event)
 
     def is_unsafe(self, request: OpenRequest) -> bool:
         return request.event.request_class == 1
 
 
 class RefusesAfterExecution(ResendsUnsafe):
-    def send(self, now_us: int, request_id: str) -> list[Action]:
-        if self.open[request_id].tried and self.is_unsafe(self.open[request_id]):
-            del self.open[request_id]
+    def send_attempt(self, now_us: int, request_id: str) -> list[Action]:
+        if self.open_requests[request_id].tried_endpoints and self.is_unsafe(self.open_requests[request_id]):
+            del self.open_requests[request_id]
             return [Reject(request_id)]
-        return super().send(now_us, request_id)
+        return super().send_attempt(now_us, request_id)
 
 
 class SendsTwice(ReferencePolicy):
-    def send(self, now_us: int, request_id: str) -> list[Action]:
-        return [action for action in super().send(now_us, request_id) for _ in range(2)]
+    def send_attempt(self, now_us: int, request_id: str) -> list[Action]:
+        return [action for action in super().send_attempt(now_us, request_id) for _ in range(2)]
 
 
 class KeepsEveryEndpoint(ReferencePolicy):
     """Goes on with every endpoint that a list has named."""
 
     def on_list(self, now_us: int, event: EndpointListReceived) -> list[Action]:
-        earlier = self.listed
+        earlier = self.ready_endpoints
         actions = super().on_list(now_us, event)
-        self.listed = sorted({*earlier, *self.listed})
+        self.ready_endpoints = sorted({*earlier, *self.ready_endpoints})
         return actions
 
 
@@ -87,14 +87,14 @@
         self.newest = started[max(started)] if started else self.newest
         return actions
 
-    def choose(self, endpoints: list[int]) -> int:
-        return self.newest if self.newest in endpoints else super().choose(endpoints)
+    def choose_endpoint(self, endpoints: list[int]) -> int:
+        return self.newest if self.newest in endpoints else super().choose_endpoint(endpoints)
 
 
 class SendsToRestartedEndpoints(NeverSubscribes):
     """Sends all to two endpoints, and is never notified that they have started anew."""
 
-    def choose(self, endpoints: list[int]) -> int:
+    def choose_endpoint(self, endpoints: list[int]) -> int:
         return endpoints[self.settings.gateway_index % len(endpoints)]
 
 
--- a/tests/lab/model/support.py
+++ b/tests/lab/model/support.py
@@ -48,7 +48,7 @@
 
 def violated_rules(world: World) -> set[int]:
     """The numbers of the rules that a run has broken."""
-    return {broken["rule"] for broken in world.rules.named}
+    return {violation["rule"] for violation in world.rules.violations}
 
 
 def call_lab(*arguments: str) -> int:
--- a/tests/lab/model/test_experiment.py
+++ b/tests/lab/model/test_experiment.py
@@ -11,56 +11,58 @@
 from lab.model.errors import UsageError
 from lab.model.knobs import parse_knob
 from lab.model.policies import POLICIES
-from lab.model.results import FILE
+from lab.model.results import RESULTS_FILE
 from tests.lab.model.support import RELEASE, TINY, call_lab, parse_tiny
 
 
-def test_results_are_equal_whatever_the_jobs_and_the_order(tmp_path: Path) -> None:
+def test_results_do_not_depend_on_jobs_or_policy_order(tmp_path: Path) -> None:
     (tmp_path / "tiny.toml").write_text(TINY)
     texts = []
-    for jobs, names in (("1", ("random", "rosedeal")), ("3", ("rosedeal", "random"))):
-        policies = [part for name in names for part in ("--policy", name)]
+    for jobs, policy_names in (("1", ("random", "rosedeal")), ("3", ("rosedeal", "random"))):
+        policy_options = [part for name in policy_names for part in ("--policy", name)]
         out = tmp_path / jobs
         arguments = ("--seeds", "2", "--jobs", jobs, "--out", str(out))
-        assert call_lab("run", str(tmp_path / "tiny.toml"), *policies, *arguments) == 0
-        texts.append((out / FILE).read_bytes())
+        assert call_lab("run", str(tmp_path / "tiny.toml"), *policy_options, *arguments) == 0
+        texts.append((out / RESULTS_FILE).read_bytes())
     assert texts[0] == texts[1]
     assert texts[0].count(b"\n") == 5
 
 
-def test_a_run_that_was_cut_off_goes_on_from_what_it_has(
+def test_an_interrupted_run_resumes_from_its_stored_results(
     tmp_path: Path, played_runs: list[tuple[str, int]]
 ) -> None:
-    plan = experiment.Plan(parse_tiny(), ("random", "round-robin"), 2)
-    heard: list[object] = []
-    experiment.run(plan, tmp_path, 1, heard.append)
-    path = tmp_path / FILE
-    whole = path.read_bytes()
-    lines = whole.splitlines(keepends=True)
-    assert len(played_runs) == len(heard) == 4
+    plan = experiment.ExperimentPlan(parse_tiny(), ("random", "round-robin"), 2)
+    reported: list[object] = []
+    experiment.run_plan(plan, tmp_path, 1, reported.append)
+    path = tmp_path / RESULTS_FILE
+    complete = path.read_bytes()
+    lines = complete.splitlines(keepends=True)
+    assert len(played_runs) == len(reported) == 4
     for cut in (len(lines[0]) // 2, sum(map(len, lines[:3])), sum(map(len, lines[:3])) + 100):
         played_runs.clear()
-        path.write_bytes(whole[:cut])
-        experiment.run(plan, tmp_path, 1, heard.append)
-        assert path.read_bytes() == whole
+        path.write_bytes(complete[:cut])
+        experiment.run_plan(plan, tmp_path, 1, reported.append)
+        assert path.read_bytes() == complete
         assert len(played_runs) == (4 if cut < len(lines[0]) else 2)
     played_runs.clear()
-    assert len(experiment.run(plan, tmp_path, 1, heard.append)) == 4
+    assert len(experiment.run_plan(plan, tmp_path, 1, reported.append)) == 4
     assert not played_runs
 
 
 @pytest.mark.usefixtures("played_runs")
-def test_results_of_other_days_or_knobs_are_not_mixed(tmp_path: Path) -> None:
-    experiment.run(experiment.Plan(parse_tiny(), ("random",), 1), tmp_path, 1, lambda _result: None)
+def test_results_of_another_scenario_or_other_knobs_are_not_mixed(tmp_path: Path) -> None:
+    experiment.run_plan(
+        experiment.ExperimentPlan(parse_tiny(), ("random",), 1), tmp_path, 1, lambda _result: None
+    )
     for plan in (
-        experiment.Plan(parse_tiny(RELEASE), ("random",), 1),
-        experiment.Plan(parse_tiny(), ("random",), 1, (parse_knob("choice.STEP=0.5"),)),
+        experiment.ExperimentPlan(parse_tiny(RELEASE), ("random",), 1),
+        experiment.ExperimentPlan(parse_tiny(), ("random",), 1, (parse_knob("choice.STEP=0.5"),)),
     ):
         with pytest.raises(UsageError, match="expected an --out of its own"):
-            experiment.run(plan, tmp_path, 1, lambda _result: None)
+            experiment.run_plan(plan, tmp_path, 1, lambda _result: None)
 
 
-def test_a_policy_that_raises_is_named_and_the_run_goes_on(
+def test_a_policy_that_raises_is_reported_and_other_runs_continue(
     tmp_path: Path, played_runs: list[tuple[str, int]], monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
 ) -> None:  # fmt: skip
--- a/tests/lab/model/test_faults.py
+++ b/tests/lab/model/test_faults.py
@@ -51,9 +51,9 @@
     roll = '\n[[troubles]]\nkind = "gateways"\nat_s = 3.0\nfor_s = 0.0\npart = 0.5\ndown_s = 6.0\n'
     once = "\n[clients]\nretries = 0\n"
     unreachable = [
-        score.result(play(parse_tiny(f"[network]\nfront_s = [{s}, {s}]\n{once}{roll}"), ReferencePolicy))[
-            "shares"
-        ]
+        score.compute_result(
+            play(parse_tiny(f"[network]\nfront_s = [{s}, {s}]\n{once}{roll}"), ReferencePolicy)
+        )["shares"]
         for s in (0.0, 3.0)
     ]
     assert unreachable[0]["unreachable"] < 0.02
@@ -74,7 +74,7 @@
 
     text = TINY.replace('{west = ["a", "b"]}', '{west = ["a"], east = ["b"]}')
     text += '\n[[troubles]]\nkind = "cut"\nat_s = 3.0\nfor_s = 4.0\nregions = ["east"]\n'
-    found = score.result(play(scenario_files.parse(text, "tiny.toml"), Talks))
+    found = score.compute_result(play(scenario_files.parse(text, "tiny.toml"), Talks))
     assert {pair[:2] for pair in heard} == {(0, 1), (1, 0)}
     assert all(4_800 <= delay_us <= 38_000 for _, _, delay_us in heard)
     assert found["costs"]["peer_bytes"] == 8 * len(heard) > 0
@@ -93,9 +93,9 @@
     ends: list[tuple[int, Outcome]] = []
 
     class Watched(ReferencePolicy):
-        def on_end(self, now_us: int, event: AttemptEnded) -> list[Action]:
+        def on_attempt_end(self, now_us: int, event: AttemptEnded) -> list[Action]:
             ends.append((now_us - START_US, event.outcome))
-            return super().on_end(now_us, event)
+            return super().on_attempt_end(now_us, event)
 
     text = TINY.replace('{west = ["a", "b"]}', '{west = ["a"], east = ["b"]}')
     text += f"\n[[troubles]]\nat_s = 3.0\nfor_s = 4.0\n{trouble}\n"
--- a/tests/lab/model/test_knobs.py
+++ b/tests/lab/model/test_knobs.py
@@ -12,13 +12,13 @@
 from tests.lab.model.support import call_lab, parse_tiny
 
 
-def test_a_knob_is_set_wherever_the_constant_is_held(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_knob_is_set_in_every_module_that_imports_the_constant(monkeypatch: pytest.MonkeyPatch) -> None:
     for module in (outliers, circuit_breaker):
         monkeypatch.setattr(module, "RING_SIZE", circuit_breaker.RING_SIZE)  # put back after the test
-    before = experiment.play(parse_tiny(), "rosedeal", 1)
+    before = experiment.simulate(parse_tiny(), "rosedeal", 1)
     apply_knobs([parse_knob("choice.RING=5")])
     assert vars(outliers)["RING_SIZE"] == circuit_breaker.RING_SIZE == 5
-    assert experiment.play(parse_tiny(), "rosedeal", 1) != before
+    assert experiment.simulate(parse_tiny(), "rosedeal", 1) != before
 
 
 @pytest.mark.parametrize(
@@ -32,7 +32,7 @@
         ("settings.RING=5", "load_balancer.decisions.settings has no number RING"),
     ],
 )
-def test_an_unknown_knob_is_one_line(
+def test_an_invalid_knob_is_reported_in_one_line(
     knob: str, expected: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert call_lab("run", "ordinary", "--knob", knob, "--out", str(tmp_path)) == 2
--- a/tests/lab/model/test_rules.py
+++ b/tests/lab/model/test_rules.py
@@ -37,12 +37,12 @@
         (FloodsNewestEndpoint, 4, "fell over, cold"),
     ],
 )
-def test_a_mutant_that_breaks_a_rule_is_named(mutant: type[ReferencePolicy], rule: int, text: str) -> None:
+def test_a_policy_that_breaks_a_rule_is_reported(mutant: type[ReferencePolicy], rule: int, text: str) -> None:
     world = play(parse_tiny(RELEASE + BURST), mutant)
     assert violated_rules(world) == {rule}
-    first = next(broken for broken in world.rules.named if text in broken["what"])
-    assert 0.0 < first["at_s"] < 16.0
-    assert first["gateway"] in (0, 1)
+    violation = next(broken for broken in world.rules.violations if text in broken["what"])
+    assert 0.0 < violation["at_s"] < 16.0
+    assert violation["gateway"] in (0, 1)
 
 
 @pytest.mark.parametrize(
@@ -54,15 +54,15 @@
         ("window_s = 0.01", {2}),
     ],
 )
-def test_a_keyed_request_is_repeated_in_its_scope_and_window_only(terms: str, broken: set[int]) -> None:
+def test_a_keyed_request_may_be_repeated_only_in_its_scope_and_window(terms: str, broken: set[int]) -> None:
     text = TINY.replace('effect = "unsafe"', f'effect = "keyed", {terms}')
     assert violated_rules(play(scenario_files.parse(text, "tiny.toml"), RepeatsAnywhere)) == broken
 
 
-def test_a_gateway_that_was_not_told_fells_no_server_by_rule() -> None:
+def test_a_crash_caused_by_gateways_not_notified_of_the_start_breaks_no_rule() -> None:
     """It watches no list, and need not ask before the end."""
-    it = parse_tiny(RELEASE + BURST)
-    discovery = msgspec.structs.replace(it.discovery, must_ask_s=100.0)
-    unaware = play(msgspec.structs.replace(it, discovery=discovery), SendsToRestartedEndpoints)
-    assert unaware.record.costs["falls"]
-    assert violated_rules(unaware) == set()
+    scenario = parse_tiny(RELEASE + BURST)
+    discovery = msgspec.structs.replace(scenario.discovery, must_ask_s=100.0)
+    world = play(msgspec.structs.replace(scenario, discovery=discovery), SendsToRestartedEndpoints)
+    assert world.record.costs["falls"]
+    assert violated_rules(world) == set()
--- a/tests/lab/model/test_world.py
+++ b/tests/lab/model/test_world.py
@@ -19,8 +19,8 @@
 def test_each_scenario_file_plays_without_a_broken_rule(path: Path) -> None:
     it = scenario_files.load(path)
     world = play(msgspec.structs.replace(it, seconds=min(it.seconds, 240.0)), POLICIES["rosedeal"])
-    assert world.rules.named == []
-    found = score.result(world)
+    assert world.rules.violations == []
+    found = score.compute_result(world)
     assert 0.3 < found["G"] <= 1.0
     assert sum(found["shares"].values()) == pytest.approx(1.0)
     assert found["shares"]["lost"] == 0.0
@@ -29,7 +29,7 @@
 @pytest.mark.parametrize("policy", POLICIES)
 def test_equal_seeds_give_equal_days(policy: str) -> None:
     it = parse_tiny(RELEASE)
-    first, again, other = (experiment.play(it, policy, seed) for seed in (3, 3, 4))
+    first, again, other = (experiment.simulate(it, policy, seed) for seed in (3, 3, 4))
     assert first == again
     assert first["G"] != other["G"]
 
--- a/tests/lab/page/test_document.py
+++ b/tests/lab/page/test_document.py
@@ -9,7 +9,7 @@
 
 from lab.model import experiment
 from lab.model.policies import POLICIES
-from lab.model.results import FILE, write
+from lab.model.results import RESULTS_FILE, write_results_file
 from lab.page import document
 from tests.lab.model.mutants import AnswersTwice
 from tests.lab.model.support import RELEASE, call_lab, parse_tiny
@@ -45,14 +45,14 @@
 
 
 @pytest.mark.usefixtures("played_runs")
-def test_a_report_has_a_picture_of_each_part_and_refers_to_nothing_outside(
+def test_a_report_has_a_picture_in_each_section_and_no_external_reference(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setitem(POLICIES, "random", AnswersTwice)
-    plan = experiment.Plan(parse_tiny(RELEASE), ("rosedeal", "random"), 2)
-    experiment.run(plan, tmp_path, 1, lambda _result: None)
+    plan = experiment.ExperimentPlan(parse_tiny(RELEASE), ("rosedeal", "random"), 2)
+    experiment.run_plan(plan, tmp_path, 1, lambda _result: None)
     assert call_lab("report", str(tmp_path)) == 0
-    text = (tmp_path / document.NAME).read_text()
+    text = (tmp_path / document.PAGE_FILE).read_text()
     outline = Outline(text)
     assert outline.sections == [
         "policies-side-by-side", "served-worth-over-time", "latency-percentiles", "load-by-server-and-zone",
@@ -66,27 +66,27 @@
         word in text for word in ("mathdefault", "src=", "@import", "<script", "<link", 'href="http')
     )
     assert call_lab("report", str(tmp_path)) == 0
-    assert (tmp_path / document.NAME).read_text() == text
+    assert (tmp_path / document.PAGE_FILE).read_text() == text
 
 
 @pytest.mark.usefixtures("played_runs")
-def test_a_report_escapes_names_and_says_what_it_leaves_out(
+def test_a_report_escapes_names_and_mentions_a_line_left_out(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     name = "<i>$_{&amp;\0"
-    path = tmp_path / FILE
-    result = experiment.play(parse_tiny(), "random", 1) | {"policy": name, "zones": [name, name]}
+    path = tmp_path / RESULTS_FILE
+    result = experiment.simulate(parse_tiny(), "random", 1) | {"policy": name, "zones": [name, name]}
     crash = {"policy": name, "seed": 2, "crash": name}
-    write(path, {"scenario": name, "knobs": [name], "program": name}, [result, crash])
+    write_results_file(path, {"scenario": name, "knobs": [name], "program": name}, [result, crash])
     path.write_bytes(path.read_bytes() + b'{"policy": "ran')
     assert call_lab("report", str(tmp_path)) == 0
-    text = (tmp_path / document.NAME).read_text()
+    text = (tmp_path / document.PAGE_FILE).read_text()
     assert Outline(text).sections
     assert "<i>" not in text
     assert "&lt;i&gt;$_{&amp;amp;" in text
-    said = "results.jsonl: the last line is cut off and left out"
-    assert capsys.readouterr().err == f"lab: {said}\n"
-    assert said in text
+    note = "results.jsonl: the last line is cut off and left out"
+    assert capsys.readouterr().err == f"lab: {note}\n"
+    assert note in text
 
 
 @pytest.mark.parametrize(
@@ -98,15 +98,15 @@
         ('{"scenario": "x"}\n{"policy": "a", "seed": 1}\n', "expected results of this program's form"),
     ],
 )
-def test_a_report_of_no_results_is_one_line(
+def test_a_report_without_usable_results_fails_with_one_line(
     text: str | None, expected: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     if text is not None:
-        (tmp_path / FILE).write_text(text)
+        (tmp_path / RESULTS_FILE).write_text(text)
     assert call_lab("report", str(tmp_path)) == 2
     assert call_lab("report", str(tmp_path / "none")) == 2
     lines = capsys.readouterr().err.splitlines()
     assert len(lines) == 2
     assert expected in lines[0]
     assert all(line.startswith("lab: ") for line in lines)
-    assert not (tmp_path / document.NAME).exists()
+    assert not (tmp_path / document.PAGE_FILE).exists()
--- a/tests/lab/test_stored_results.py
+++ b/tests/lab/test_stored_results.py
@@ -21,7 +21,7 @@
 from lab.figures import slopes
 from lab.model import experiment, scenario_files, summary
 from lab.model.knobs import apply_knobs, parse_knob
-from lab.model.results import FILE, Result, of_policy, read, write
+from lab.model.results import RESULTS_FILE, Result, read_results_file, results_of_policy, write_results_file
 
 ROOT = Path(__file__).parents[2]
 FIXTURES = ROOT / "tests" / "fixtures"
@@ -56,7 +56,7 @@
 
 def read_results(folder: Path) -> tuple[Result, list[Result]]:
     """The header without the program's digest, and the results."""
-    header, results = read(folder / FILE)
+    header, results = read_results_file(folder / RESULTS_FILE)
     assert header is not None
     assert header.pop("program")
     return header, results
@@ -94,7 +94,7 @@
     capsys.readouterr()
     assert call_lab("compare", BEFORE, tmp_path / "new") == 0
     rows = capsys.readouterr().out.splitlines()[1:]
-    assert [row.split()[:3] for row in rows] == [["rosedeal", name, "5"] for name in summary.COMPARED]
+    assert [row.split()[:3] for row in rows] == [["rosedeal", name, "5"] for name in summary.COMPARED_METRICS]
     assert all(row.split()[3:6] == ["+0.0000"] * 3 for row in rows)
 
 
@@ -117,10 +117,10 @@
 def test_results_of_another_program_are_not_continued(
     stored_after: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    path = stored_after / FILE
-    header, results = read(path)
+    path = stored_after / RESULTS_FILE
+    header, results = read_results_file(path)
     assert header is not None
-    write(path, header | {"program": "0" * 16}, results)
+    write_results_file(path, header | {"program": "0" * 16}, results)
     before = path.read_bytes()
     assert run_policy(TINY, 5, stored_after, "--knob", "choice.RING=20") == 2
     assert "holds runs of another program: expected an --out of its own" in capsys.readouterr().err
@@ -153,8 +153,8 @@
     stored_header, stored = read_results(folder)
     assert header == stored_header
     assert header["knobs"] == [knob]
-    assert results == of_policy(stored, "rosedeal")
-    unchanged = of_policy(read_results(BEFORE)[1], "rosedeal")
+    assert results == results_of_policy(stored, "rosedeal")
+    unchanged = results_of_policy(read_results(BEFORE)[1], "rosedeal")
     assert all(result not in unchanged for result in results)
 
 
@@ -172,7 +172,7 @@
     knob, name = parse_knob(text), text.partition("=")[0]
     apply_knobs([knob])
     try:
-        result = experiment.play(scenario_files.load(TINY), "rosedeal", 1)
+        result = experiment.simulate(scenario_files.load(TINY), "rosedeal", 1)
     finally:
         apply_knobs([parse_knob(f"{name}={KNOBS[name]}")])
     assert {figure: result.get(figure) for figure in EFFECTS[text]} == EFFECTS[text]
