--- a/lab/model/score.py
+++ b/lab/model/score.py
@@ -8,10 +8,10 @@
 
 import numpy as np
 
-from lab.child import Hist
+from lab.child import Histogram
 from lab.model.engine import START_US
 from lab.model.requests import RequestEnd
-from lab.model.world import World
+from lab.model.simulation import Simulation
 from lab.schedule import Floats
 
 WINDOW_S = 10
@@ -42,7 +42,7 @@
     by_class: Floats  # one row a class: served and offered
     by_tenant: Floats  # one row a tenant: served and offered, without what is over quota
     end_counts: Counter[str]  # by the words of results
-    latency: Hist
+    latency: Histogram
 
     def parts(self) -> dict[str, float]:
         """The parts of the score, each the share of the weight that was served."""
@@ -61,7 +61,7 @@
         }
 
 
-def compute_totals(world: World) -> RunTotals:
+def compute_totals(world: Simulation) -> RunTotals:
     """Count the weight of all requests; prices are not taken off."""
     workload, traffic = world.workload, world.scenario.traffic
     seconds = int(np.ceil(world.scenario.seconds))
@@ -71,7 +71,7 @@
         np.zeros((len(traffic.classes), 2)),
         np.zeros((len(traffic.tenants), 2)),
         Counter(),
-        Hist(),
+        Histogram(),
     )
     for row, end in enumerate(world.record.ends):
         class_index, weight = workload.request_class[row], workload.weight[row]
@@ -82,7 +82,7 @@
             in_time = latency_us <= request_class.latency_objective_ms * 1e3
             served_weight = weight * (1.0 if in_time else request_class.late_weight_share)
             end_kind = "in_time" if in_time else "late"
-            totals.latency.add(latency_us)
+            totals.latency.record(latency_us)
         totals.end_counts[end_kind] += 1
         totals.offered[second] += weight
         totals.served[second] += served_weight
@@ -92,21 +92,21 @@
     return totals
 
 
-def costs(world: World) -> dict[str, float]:
+def costs(world: Simulation) -> dict[str, float]:
     """What the run cost, by kind."""
     record, endpoints = world.record, world.fleet.endpoints
     offered_us = float(sum(world.workload.work_us))
     worked_us = sum(endpoint.worked_us for endpoint in endpoints)
     return {kind: record.costs[kind] for kind in COUNTED_COSTS} | {
-        "list_lines": world.registry.lines,
-        "list_calls": world.registry.calls,
+        "list_lines": world.registry.sent_entries,
+        "list_calls": world.registry.call_count,
         "connections": float(np.mean(record.open_connections)) if record.open_connections else 0.0,
         "wasted_work": ratio(worked_us - record.useful_work_us, offered_us),
-        "chokes": sum(endpoint.chokes for endpoint in endpoints),
+        "chokes": sum(endpoint.congestion_count for endpoint in endpoints),
     }
 
 
-def compute_result(world: World) -> dict[str, Any]:
+def compute_result(world: Simulation) -> dict[str, Any]:
     """All figures of a run that has been played, under the keys of stored results."""
     totals = compute_totals(world)
     parts, count, latency = totals.parts(), len(world.record.ends), totals.latency
@@ -117,9 +117,9 @@
         **parts,
         "asked": count,
         "shares": {end_kind: totals.end_counts[end_kind] / count if count else 0.0 for end_kind in END_KINDS},
-        "p50_ms": latency.at(50) if latency.count else None,
-        "p99_ms": latency.at(99) if latency.count else None,
-        "latency": latency.text(),
+        "p50_ms": latency.percentile_ms(50) if latency.count else None,
+        "p99_ms": latency.percentile_ms(99) if latency.count else None,
+        "latency": latency.encode(),
         "costs": costs(world),
         "broken": {"count": world.rules.violation_count, "named": world.rules.violations},
         "worth_by_s": [
--- a/lab/page/plot_sections.py
+++ b/lab/page/plot_sections.py
@@ -10,7 +10,7 @@
 from matplotlib.colors import LogNorm
 from matplotlib.figure import Figure
 
-from lab.child import Hist
+from lab.child import Histogram
 from lab.model.results import Result
 from lab.model.summary import format_metric
 from lab.page import html
@@ -58,12 +58,17 @@
     rows, curves = [], {}
     percentiles = 100.0 * (1.0 - 10.0**-NINES)
     for policy, results in plots.view.by_policy.items():
-        histograms = [histogram for r in results if (histogram := Hist(r["latency"])).count]
+        histograms = [histogram for r in results if (histogram := Histogram(r["latency"])).count]
         if histograms:
-            curves[policy] = np.array([[histogram.at(p) for p in percentiles] for histogram in histograms])
+            curves[policy] = np.array(
+                [[histogram.percentile_ms(p) for p in percentiles] for histogram in histograms]
+            )
             for histogram in histograms[1:]:
-                histograms[0].join(histogram)
-        cells = [format_metric(histograms[0].at(p) if histograms else None, 0) for p in TABLE_PERCENTILES]
+                histograms[0].merge(histogram)
+        cells = [
+            format_metric(histograms[0].percentile_ms(p) if histograms else None, 0)
+            for p in TABLE_PERCENTILES
+        ]
         rows.append([plots.view.label(policy), *cells])
     if not curves:
         return html.NO_RESULTS
--- a/tests/lab/model/test_rules.py
+++ b/tests/lab/model/test_rules.py
@@ -20,7 +20,7 @@
     SendsToRestartedEndpoints,
     SendsTwice,
 )
-from tests.lab.model.support import BURST, RELEASE, TINY, parse_tiny, play, violated_rules
+from tests.lab.model.support import BURST, RELEASE, TINY, parse_tiny, simulate, violated_rules
 
 
 @pytest.mark.parametrize(
@@ -38,7 +38,7 @@
     ],
 )
 def test_a_policy_that_breaks_a_rule_is_reported(mutant: type[ReferencePolicy], rule: int, text: str) -> None:
-    world = play(parse_tiny(RELEASE + BURST), mutant)
+    world = simulate(parse_tiny(RELEASE + BURST), mutant)
     assert violated_rules(world) == {rule}
     violation = next(broken for broken in world.rules.violations if text in broken["what"])
     assert 0.0 < violation["at_s"] < 16.0
@@ -56,13 +56,13 @@
 )
 def test_a_keyed_request_may_be_repeated_only_in_its_scope_and_window(terms: str, broken: set[int]) -> None:
     text = TINY.replace('effect = "unsafe"', f'effect = "keyed", {terms}')
-    assert violated_rules(play(scenario_files.parse(text, "tiny.toml"), RepeatsAnywhere)) == broken
+    assert violated_rules(simulate(scenario_files.parse(text, "tiny.toml"), RepeatsAnywhere)) == broken
 
 
 def test_a_crash_caused_by_gateways_not_notified_of_the_start_breaks_no_rule() -> None:
     """It watches no list, and need not ask before the end."""
     scenario = parse_tiny(RELEASE + BURST)
-    discovery = msgspec.structs.replace(scenario.discovery, must_ask_s=100.0)
-    world = play(msgspec.structs.replace(scenario, discovery=discovery), SendsToRestartedEndpoints)
+    discovery = msgspec.structs.replace(scenario.discovery, max_poll_interval_s=100.0)
+    world = simulate(msgspec.structs.replace(scenario, discovery=discovery), SendsToRestartedEndpoints)
     assert world.record.costs["falls"]
     assert violated_rules(world) == set()
