--- a/lab/model/experiment.py
+++ b/lab/model/experiment.py
@@ -64,9 +64,9 @@
 def simulate(scenario: Scenario, policy: str, seed: int) -> Result:
     """One day; a policy that raises is named in place of its figures."""
     try:
-        world = Simulation(scenario, policies.POLICIES[policy], seed)
-        world.run()
-        figures = score.compute_result(world)
+        simulation = Simulation(scenario, policies.POLICIES[policy], seed)
+        simulation.run()
+        figures = score.compute_result(simulation)
     except Exception as error:
         figures = {"crash": f"{type(error).__name__}: {error}"}
     return {"policy": policy, "seed": seed, **figures}
--- a/lab/model/score.py
+++ b/lab/model/score.py
@@ -61,10 +61,10 @@
         }
 
 
-def compute_totals(world: Simulation) -> RunTotals:
+def compute_totals(simulation: Simulation) -> RunTotals:
     """Count the weight of all requests; prices are not taken off."""
-    workload, traffic = world.workload, world.scenario.traffic
-    seconds = int(np.ceil(world.scenario.seconds))
+    workload, traffic = simulation.workload, simulation.scenario.traffic
+    seconds = int(np.ceil(simulation.scenario.seconds))
     totals = RunTotals(
         np.zeros(seconds),
         np.zeros(seconds),
@@ -73,12 +73,12 @@
         Counter(),
         Histogram(),
     )
-    for row, end in enumerate(world.record.ends):
+    for row, end in enumerate(simulation.record.ends):
         class_index, weight = workload.request_class[row], workload.weight[row]
         request_class, second = traffic.classes[class_index], (workload.times_us[row] - START_US) // 1_000_000
         served_weight, end_kind = 0.0, end.value
         if end is RequestEnd.SERVED:
-            latency_us = world.record.latency_us[row]
+            latency_us = simulation.record.latency_us[row]
             in_time = latency_us <= request_class.latency_objective_ms * 1e3
             served_weight = weight * (1.0 if in_time else request_class.late_weight_share)
             end_kind = "in_time" if in_time else "late"
@@ -92,25 +92,25 @@
     return totals
 
 
-def costs(world: Simulation) -> dict[str, float]:
+def costs(simulation: Simulation) -> dict[str, float]:
     """What the run cost, by kind."""
-    record, endpoints = world.record, world.fleet.endpoints
-    offered_us = float(sum(world.workload.work_us))
+    record, endpoints = simulation.record, simulation.fleet.endpoints
+    offered_us = float(sum(simulation.workload.work_us))
     worked_us = sum(endpoint.worked_us for endpoint in endpoints)
     return {kind: record.costs[kind] for kind in COUNTED_COSTS} | {
-        "list_lines": world.registry.sent_entries,
-        "list_calls": world.registry.call_count,
+        "list_lines": simulation.registry.sent_entries,
+        "list_calls": simulation.registry.call_count,
         "connections": float(np.mean(record.open_connections)) if record.open_connections else 0.0,
         "wasted_work": ratio(worked_us - record.useful_work_us, offered_us),
         "chokes": sum(endpoint.congestion_count for endpoint in endpoints),
     }
 
 
-def compute_result(world: Simulation) -> dict[str, Any]:
+def compute_result(simulation: Simulation) -> dict[str, Any]:
     """All figures of a run that has been played, under the keys of stored results."""
-    totals = compute_totals(world)
-    parts, count, latency = totals.parts(), len(world.record.ends), totals.latency
-    weights = {name: getattr(world.scenario.objective, name) for name in parts}
+    totals = compute_totals(simulation)
+    parts, count, latency = totals.parts(), len(simulation.record.ends), totals.latency
+    weights = {name: getattr(simulation.scenario.objective, name) for name in parts}
     total_weight = sum(weights.values()) or 1.0
     return {
         "G": sum(parts[name] * weight for name, weight in weights.items()) / total_weight,
@@ -120,15 +120,15 @@
         "p50_ms": latency.percentile_ms(50) if latency.count else None,
         "p99_ms": latency.percentile_ms(99) if latency.count else None,
         "latency": latency.encode(),
-        "costs": costs(world),
-        "broken": {"count": world.rules.violation_count, "named": world.rules.violations},
+        "costs": costs(simulation),
+        "broken": {"count": simulation.rules.violation_count, "named": simulation.rules.violations},
         "worth_by_s": [
             [round(offered), round(served)]
             for offered, served in zip(totals.offered.tolist(), totals.served.tolist(), strict=True)
         ],
-        "zones": list(world.scenario.zones),
-        "server_load": world.samples.endpoint_load,
-        "zone_load": world.samples.zone_load,
-        "guards": world.samples.guards,
-        "events": world.clock.events,
+        "zones": list(simulation.scenario.zones),
+        "server_load": simulation.samples.endpoint_load,
+        "zone_load": simulation.samples.zone_load,
+        "guards": simulation.samples.guards,
+        "events": simulation.clock.events,
     }
--- a/tests/lab/model/test_rules.py
+++ b/tests/lab/model/test_rules.py
@@ -38,9 +38,9 @@
     ],
 )
 def test_a_policy_that_breaks_a_rule_is_reported(mutant: type[ReferencePolicy], rule: int, text: str) -> None:
-    world = simulate(parse_tiny(RELEASE + BURST), mutant)
-    assert violated_rules(world) == {rule}
-    violation = next(broken for broken in world.rules.violations if text in broken["what"])
+    simulation = simulate(parse_tiny(RELEASE + BURST), mutant)
+    assert violated_rules(simulation) == {rule}
+    violation = next(broken for broken in simulation.rules.violations if text in broken["what"])
     assert 0.0 < violation["at_s"] < 16.0
     assert violation["gateway"] in (0, 1)
 
@@ -63,6 +63,6 @@
     """It watches no list, and need not ask before the end."""
     scenario = parse_tiny(RELEASE + BURST)
     discovery = msgspec.structs.replace(scenario.discovery, max_poll_interval_s=100.0)
-    world = simulate(msgspec.structs.replace(scenario, discovery=discovery), SendsToRestartedEndpoints)
-    assert world.record.costs["falls"]
-    assert violated_rules(world) == set()
+    simulation = simulate(msgspec.structs.replace(scenario, discovery=discovery), SendsToRestartedEndpoints)
+    assert simulation.record.costs["falls"]
+    assert violated_rules(simulation) == set()
