--- a/lab/model/score.py
+++ b/lab/model/score.py
@@ -25,7 +25,7 @@
     "peer_bytes",
     "falls",
 )
-ENDS = ("in_time", "late", "refused", "failed", "unreachable", "lost")
+END_KINDS = ("in_time", "late", "refused", "failed", "unreachable", "lost")
 
 
 def ratio(served: float, offered: float) -> float:
@@ -34,14 +34,14 @@
 
 
 @dataclass
-class Tally:
+class RunTotals:
     """Weight offered and served of a run, as a whole and by its parts."""
 
     offered: Floats  # by second
     served: Floats
     by_class: Floats  # one row a class: served and offered
     by_tenant: Floats  # one row a tenant: served and offered, without what is over quota
-    ends: Counter[str]  # by the words of results
+    end_counts: Counter[str]  # by the words of results
     latency: Histogram
 
     def parts(self) -> dict[str, float]:
@@ -51,21 +51,21 @@
             "whole": ratio(float(self.served.sum()), float(self.offered.sum())),
             "worst_window": min(
                 ratio(
-                    float(self.served[s : s + WINDOW_S].sum()),
-                    float(self.offered[s : s + WINDOW_S].sum()),
+                    float(self.served[start : start + WINDOW_S].sum()),
+                    float(self.offered[start : start + WINDOW_S].sum()),
                 )
-                for s in windows
+                for start in windows
             ),
             "worst_class": min(ratio(*pair) for pair in self.by_class.tolist()),
             "worst_tenant": min(ratio(*pair) for pair in self.by_tenant.tolist()),
         }
 
 
-def tally(world: Simulation) -> Tally:
+def compute_totals(simulation: Simulation) -> RunTotals:
     """Count the weight of all requests; prices are not taken off."""
-    workload, traffic = world.workload, world.scenario.traffic
-    seconds = int(np.ceil(world.scenario.seconds))
-    found = Tally(
+    workload, traffic = simulation.workload, simulation.scenario.traffic
+    seconds = int(np.ceil(simulation.scenario.seconds))
+    totals = RunTotals(
         np.zeros(seconds),
         np.zeros(seconds),
         np.zeros((len(traffic.classes), 2)),
@@ -73,62 +73,62 @@
         Counter(),
         Histogram(),
     )
-    for row, end in enumerate(world.record.ends):
+    for row, end in enumerate(simulation.record.ends):
         class_index, weight = workload.request_class[row], workload.weight[row]
         request_class, second = traffic.classes[class_index], (workload.times_us[row] - START_US) // 1_000_000
-        gain, how = 0.0, end.value
+        served_weight, end_kind = 0.0, end.value
         if end is RequestEnd.SERVED:
-            latency_us = world.record.latency_us[row]
+            latency_us = simulation.record.latency_us[row]
             in_time = latency_us <= request_class.latency_objective_ms * 1e3
-            gain = weight * (1.0 if in_time else request_class.late_weight_share)
-            how = "in_time" if in_time else "late"
-            found.latency.record(latency_us)
-        found.ends[how] += 1
-        found.offered[second] += weight
-        found.served[second] += gain
-        found.by_class[class_index] += (gain, weight)
+            served_weight = weight * (1.0 if in_time else request_class.late_weight_share)
+            end_kind = "in_time" if in_time else "late"
+            totals.latency.record(latency_us)
+        totals.end_counts[end_kind] += 1
+        totals.offered[second] += weight
+        totals.served[second] += served_weight
+        totals.by_class[class_index] += (served_weight, weight)
         if not workload.over_quota[row]:
-            found.by_tenant[workload.tenant[row]] += (gain, weight)
-    return found
+            totals.by_tenant[workload.tenant[row]] += (served_weight, weight)
+    return totals
 
 
-def costs(world: Simulation) -> dict[str, float]:
+def costs(simulation: Simulation) -> dict[str, float]:
     """What the run cost, by kind."""
-    record, endpoints = world.record, world.fleet.endpoints
-    offered_us = float(sum(world.workload.work_us))
+    record, endpoints = simulation.record, simulation.fleet.endpoints
+    offered_us = float(sum(simulation.workload.work_us))
     worked_us = sum(endpoint.worked_us for endpoint in endpoints)
     return {kind: record.costs[kind] for kind in COUNTED_COSTS} | {
-        "list_lines": world.registry.sent_entries,
-        "list_calls": world.registry.call_count,
+        "list_lines": simulation.registry.sent_entries,
+        "list_calls": simulation.registry.call_count,
         "connections": float(np.mean(record.open_connections)) if record.open_connections else 0.0,
-        "wasted_work": ratio(worked_us - record.useful_us, offered_us),
+        "wasted_work": ratio(worked_us - record.useful_work_us, offered_us),
         "chokes": sum(endpoint.congestion_count for endpoint in endpoints),
     }
 
 
-def result(world: Simulation) -> dict[str, Any]:
+def compute_result(simulation: Simulation) -> dict[str, Any]:
     """All figures of a run that has been played, under the keys of stored results."""
-    found = tally(world)
-    parts, count, latency = found.parts(), len(world.record.ends), found.latency
-    weights = {name: getattr(world.scenario.objective, name) for name in parts}
-    total = sum(weights.values()) or 1.0
+    totals = compute_totals(simulation)
+    parts, count, latency = totals.parts(), len(simulation.record.ends), totals.latency
+    weights = {name: getattr(simulation.scenario.objective, name) for name in parts}
+    total_weight = sum(weights.values()) or 1.0
     return {
-        "G": sum(parts[name] * weight for name, weight in weights.items()) / total,
+        "G": sum(parts[name] * weight for name, weight in weights.items()) / total_weight,
         **parts,
         "asked": count,
-        "shares": {how: found.ends[how] / count if count else 0.0 for how in ENDS},
+        "shares": {end_kind: totals.end_counts[end_kind] / count if count else 0.0 for end_kind in END_KINDS},
         "p50_ms": latency.percentile_ms(50) if latency.count else None,
         "p99_ms": latency.percentile_ms(99) if latency.count else None,
         "latency": latency.encode(),
-        "costs": costs(world),
-        "broken": {"count": world.rules.count, "named": world.rules.named},
+        "costs": costs(simulation),
+        "broken": {"count": simulation.rules.violation_count, "named": simulation.rules.violations},
         "worth_by_s": [
             [round(offered), round(served)]
-            for offered, served in zip(found.offered.tolist(), found.served.tolist(), strict=True)
+            for offered, served in zip(totals.offered.tolist(), totals.served.tolist(), strict=True)
         ],
-        "zones": list(world.scenario.zones),
-        "server_load": world.samples.endpoints,
-        "zone_load": world.samples.zones,
-        "guards": world.samples.guards,
-        "events": world.clock.events,
+        "zones": list(simulation.scenario.zones),
+        "server_load": simulation.samples.endpoint_load,
+        "zone_load": simulation.samples.zone_load,
+        "guards": simulation.samples.guards,
+        "events": simulation.clock.events,
     }
--- a/tests/lab/model/support.py
+++ b/tests/lab/model/support.py
@@ -48,7 +48,7 @@
 
 def violated_rules(simulation: Simulation) -> set[int]:
     """The numbers of the rules that a run has broken."""
-    return {broken["rule"] for broken in simulation.rules.named}
+    return {violation["rule"] for violation in simulation.rules.violations}
 
 
 def call_lab(*arguments: str) -> int:
--- a/tests/lab/model/test_faults.py
+++ b/tests/lab/model/test_faults.py
@@ -51,7 +51,7 @@
     restarts = '\n[[troubles]]\nkind = "gateways"\nat_s = 3.0\nfor_s = 0.0\npart = 0.5\ndown_s = 6.0\n'
     no_retries = "\n[clients]\nretries = 0\n"
     unreachable = [
-        score.result(
+        score.compute_result(
             simulate(
                 parse_tiny(f"[network]\nfront_s = [{detection_s}, {detection_s}]\n{no_retries}{restarts}"),
                 ReferencePolicy,
@@ -77,7 +77,7 @@
 
     text = TINY.replace('{west = ["a", "b"]}', '{west = ["a"], east = ["b"]}')
     text += '\n[[troubles]]\nkind = "cut"\nat_s = 3.0\nfor_s = 4.0\nregions = ["east"]\n'
-    result = score.result(simulate(scenario_files.parse(text, "tiny.toml"), PeerMessagePolicy))
+    result = score.compute_result(simulate(scenario_files.parse(text, "tiny.toml"), PeerMessagePolicy))
     assert {pair[:2] for pair in received} == {(0, 1), (1, 0)}
     assert all(4_800 <= delay_us <= 38_000 for _, _, delay_us in received)
     assert result["costs"]["peer_bytes"] == 8 * len(received) > 0
@@ -96,9 +96,9 @@
     outcomes: list[tuple[int, Outcome]] = []
 
     class RecordingPolicy(ReferencePolicy):
-        def on_end(self, now_us: int, event: AttemptEnded) -> list[Action]:
+        def on_attempt_end(self, now_us: int, event: AttemptEnded) -> list[Action]:
             outcomes.append((now_us - START_US, event.outcome))
-            return super().on_end(now_us, event)
+            return super().on_attempt_end(now_us, event)
 
     text = TINY.replace('{west = ["a", "b"]}', '{west = ["a"], east = ["b"]}')
     text += f"\n[[troubles]]\nat_s = 3.0\nfor_s = 4.0\n{fault}\n"
