--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -12,13 +12,13 @@
 import msgspec
 
 from lab import module, reload, reload_report, report, scale, schedule, up
-from lab.arguments import check_out, checked_bound, half_of_memory_mb, parse_size
+from lab.arguments import check_result_path, half_of_memory_mb, parse_size, resolve_memory_bound_mb
 from lab.bounded import run_bounded
 from lab.model.commands import compare_command, report_command, run_command
 from lab.processes import ChildError
 from lab.records import Plan
 from lab.running import run_interruptible, run_to_folder
-from lab.tables import table
+from lab.tables import format_table
 from load_balancer.config.file import parse_config
 
 DEFAULT_SIZES = ("10x3x2", "200x3x2", "4200x3x2", "10x3400x2", "10x3x2300")
@@ -29,7 +29,7 @@
 latency_bound_option = click.option(
     "--late-ms", type=click.FloatRange(1), default=25.0, show_default=True, help="Bound at p99."
 )
-folder_option = click.option(
+out_option = click.option(
     "--out", type=click.Path(path_type=Path, file_okay=False), required=True, help="Directory for the result."
 )
 seed_option = click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
@@ -38,14 +38,14 @@
 )
 
 
-class OneLine(click.Group):
+class SingleLineErrorGroup(click.Group):
     """Says in one line what is wrong with the arguments, and ends with 2."""
 
     def main(self, *args: Any, **kwargs: Any) -> Any:
         """Run a command; ends the process with its code."""
         kwargs["standalone_mode"] = False
         try:
-            code = super().main(*args, **kwargs)
+            exit_code = super().main(*args, **kwargs)
         except click.Abort:
             sys.exit(130)
         except click.exceptions.NoArgsIsHelpError:
@@ -58,10 +58,10 @@
         except click.ClickException as error:
             print(f"lab: {error.format_message()}", file=sys.stderr)
             sys.exit(2)
-        sys.exit(code if isinstance(code, int) else 0)
+        sys.exit(exit_code if isinstance(exit_code, int) else 0)
 
 
-@click.group(cls=OneLine)
+@click.group(cls=SingleLineErrorGroup)
 def lab() -> None:
     """Measure the load balancer at a size, all on loopback, and play it in a model of the fleet."""
 
@@ -77,7 +77,7 @@
 )
 @click.option("--memory-mb", type=click.IntRange(1), help="Bound on one size [default: half of the machine]")
 @click.option(
-    "--out", type=click.Path(path_type=Path), callback=check_out, help="File for the result, as JSON."
+    "--out", type=click.Path(path_type=Path), callback=check_result_path, help="File for the result, as JSON."
 )
 def module_command(
     sizes: tuple[str, ...],
@@ -90,17 +90,17 @@
     out: Path | None,
 ) -> int:
     """The decisions alone at each size."""
-    chosen = [parse_size(text) for text in sizes]
+    parsed_sizes = [parse_size(text) for text in sizes]
     if servers is not None:
-        chosen.append((servers, routes, tenants))
+        parsed_sizes.append((servers, routes, tenants))
     results = []
-    for size in chosen or map(parse_size, DEFAULT_SIZES):
+    for size in parsed_sizes or map(parse_size, DEFAULT_SIZES):
         arguments = ["lab.module", *map(str, size), str(seed)]
-        bound = memory_mb or half_of_memory_mb()
-        result = module.middle([run_bounded(arguments, bound) for _ in range(repeat)])
+        bound_mb = memory_mb or half_of_memory_mb()
+        result = module.median_result([run_bounded(arguments, bound_mb) for _ in range(repeat)])
         results.append(result | dict(zip(("servers", "routes", "tenants"), size, strict=True)))
         print(f"{'x'.join(map(str, size))}: {result.get('failed', 'done')}", file=sys.stderr, flush=True)
-    print(table(module.COLUMNS, map(module.row, results)))
+    print(format_table(module.COLUMNS, map(module.result_row, results)))
     if out is not None:
         out.write_text(json.dumps({"seed": seed, "sizes": results}, indent=1) + "\n", encoding="utf-8")
     return 1 if any("failed" in result for result in results) else 0
@@ -149,7 +149,7 @@
 )
 @memory_option
 @latency_bound_option
-@folder_option
+@out_option
 def scale_command(
     out: Path,
     memory_mb: int | None,
@@ -159,15 +159,17 @@
     **sizes: Any,
 ) -> int:
     """The whole at a size: result.json in the directory, and one table."""
-    bound = checked_bound(memory_mb)
+    bound_mb = resolve_memory_bound_mb(memory_mb)
     plan = Plan(
         scenarios=tuple(dict.fromkeys(scenarios)),
-        memory_mb=bound,
+        memory_mb=bound_mb,
         simulated=hollow,
         simulated_rate=hollow_rate,
         **sizes,
     )
-    return run_to_folder(out, lambda report_progress: scale.play(plan, out, report_progress), report.report)
+    return run_to_folder(
+        out, lambda report_progress: scale.play(plan, out, report_progress), report.format_result
+    )
 
 
 @lab.command("reload")
@@ -207,12 +209,12 @@
 @seed_option
 @memory_option
 @latency_bound_option
-@folder_option
+@out_option
 def reload_command(out: Path, memory_mb: int | None, hollow: int, **sizes: Any) -> int:
     """Changes of one tenant under way: result.json in the directory, and one table."""
-    plan = reload.Plan(memory_mb=checked_bound(memory_mb), simulated=hollow, **sizes)
+    plan = reload.Plan(memory_mb=resolve_memory_bound_mb(memory_mb), simulated=hollow, **sizes)
     return run_to_folder(
-        out, lambda report_progress: reload.play(plan, out, report_progress), reload_report.report
+        out, lambda report_progress: reload.play(plan, out, report_progress), reload_report.format_result
     )
 
 
@@ -220,7 +222,7 @@
 @click.option(
     "--config",
     type=click.Path(path_type=Path, dir_okay=False),
-    default=up.EXAMPLE,
+    default=up.EXAMPLE_CONFIG,
     help="The gateways' configuration [default: deploy/example.json]",
 )
 def up_command(config: Path) -> int:
@@ -237,12 +239,12 @@
         raise click.BadParameter(f"{config} cannot be used: {error}") from None
     with tempfile.TemporaryDirectory(prefix="load-balancer-") as folder:
 
-        def say(line: str) -> None:
+        def print_command(line: str) -> None:
             print(line, flush=True)
             print("lab: all is up; Ctrl-C ends it", file=sys.stderr, flush=True)
 
         try:
-            run_interruptible(up.up(raw, Path(folder), say))
+            run_interruptible(up.run_deployment(raw, Path(folder), print_command))
         except (ChildError, TimeoutError) as error:
             logs = "".join(path.read_text(errors="replace") for path in sorted(Path(folder).glob("*.log")))
             print(f"{logs}lab: {error or 'a gateway was not ready in time'}", file=sys.stderr)
--- a/lab/changes.py
+++ b/lab/changes.py
@@ -20,8 +20,8 @@
     StartPolling,
     StopPolling,
 )
-from lab.readiness import ReadinessPoll
-from lab.stalls import StallMonitor, now
+from lab.readiness import ReadinessPoller
+from lab.stalls import StallMonitor, read_clocks
 from load_balancer.config.file import load_config_steps
 from load_balancer.config.steps import run_to_completion
 from load_balancer.decisions.actions import Send
@@ -40,59 +40,61 @@
 
 PLACEHOLDER = "the tenants stand here"
 TIMEOUT_US = 2_000_000
-MAX_SPAN_S = 60.0  # spent on the changes
+MAX_CHANGES_DURATION_S = 60.0  # spent on the changes
 WARM_UP_REQUESTS = 500  # that each balancer has had, so that there is state to carry
 
 
 @dataclass(frozen=True)
-class Change:
+class TenantChange:
     """A tenant is added or removed, at an index among the others."""
 
     added: bool
-    number: int  # of the tenant's name
+    tenant_number: int  # of the tenant's name
     index: int
-    allowance: float  # requests a second
+    allowance_per_s: float  # requests a second
 
 
-def changes(seed: int, tenants: int, count: int) -> list[Change]:
+def generate_changes(seed: int, tenants: int, count: int) -> list[TenantChange]:
     """Add a new tenant and remove it again, in turn: there is at most one beside the `tenants`."""
     rng = schedule.stream(seed, "changes")
-    found: list[Change] = []
+    generated: list[TenantChange] = []
     for number in range(count):
         index = int(rng.integers(tenants + 1))
-        allowance = float(rng.integers(1, 1_000_000))
-        last = found[-1] if found else None
-        if last is not None and last.added:
-            found.append(replace(last, added=False))
+        allowance_per_s = float(rng.integers(1, 1_000_000))
+        previous = generated[-1] if generated else None
+        if previous is not None and previous.added:
+            generated.append(replace(previous, added=False))
         else:
-            found.append(Change(True, tenants + number, index, allowance))
-    return found
+            generated.append(TenantChange(True, tenants + number, index, allowance_per_s))
+    return generated
 
 
-class Document:
+class ConfigDocument:
     """A configuration's text, of which one tenant changes; the rest stays byte for byte."""
 
     def __init__(self, raw: dict[str, Any]) -> None:
         self.tenants = [json.dumps(tenant) for tenant in raw["settings"]["tenants"]]
         self.fraction = 1.0 / len(self.tenants)
         settings = {**raw["settings"], "tenants": [PLACEHOLDER]}
-        self.head, self.tail = json.dumps({**raw, "settings": settings}).split(json.dumps(PLACEHOLDER))
+        self.text_before, self.text_after = json.dumps({**raw, "settings": settings}).split(
+            json.dumps(PLACEHOLDER)
+        )
 
-    def apply(self, change: Change) -> None:
+    def apply(self, change: TenantChange) -> None:
         """Add or drop the change's tenant."""
         if not change.added:
             del self.tenants[change.index]
             return
         tenant = {
-            "name": fleet.tenant(change.number),
-            "allowancePerS": change.allowance,
+            "name": fleet.tenant(change.tenant_number),
+            "allowancePerS": change.allowance_per_s,
             "fraction": self.fraction,
         }
         self.tenants.insert(change.index, json.dumps(tenant))
 
     def write(self, path: Path) -> int:
         """Write it where no gateway reads; returns how many bytes."""
-        return path.write_bytes(f"{self.head}{', '.join(self.tenants)}{self.tail}".encode())
+        return path.write_bytes(f"{self.text_before}{', '.join(self.tenants)}{self.text_after}".encode())
 
 
 class ChangeMeasurement:
@@ -103,7 +105,7 @@
 
     def __init__(self, path: Path) -> None:
         self.file = path.with_suffix(".new")
-        self.document = Document(json.loads(path.read_text(encoding="utf-8")))
+        self.document = ConfigDocument(json.loads(path.read_text(encoding="utf-8")))
         self.environ = {"ROUTER_CONFIG": str(self.file)}
         self.document.write(self.file)
         self.config = run_to_completion(load_config_steps(self.environ))
@@ -124,37 +126,37 @@
             warm_up(balancer, seed + index, len(settings.classes), len(settings.tenants))
             self.balancers.append(balancer)
 
-    def make_changes(self, changes_to_make: list[Change]) -> int:
+    def make_changes(self, changes_to_make: list[TenantChange]) -> int:
         """Make changes until MAX_SPAN_S has passed; returns how many were made."""
         self.lookup = run_to_completion(lookup_steps(self.config))
-        gc.callbacks.append(self.stalls.collecting)
+        gc.callbacks.append(self.stalls.on_collection)
         started_s = time.monotonic()
         made = 0
         try:
             for change in changes_to_make:
-                if time.monotonic() - started_s > MAX_SPAN_S:
+                if time.monotonic() - started_s > MAX_CHANGES_DURATION_S:
                     break
                 made += 1
                 self.make_change(change)
         finally:
-            gc.callbacks.remove(self.stalls.collecting)
+            gc.callbacks.remove(self.stalls.on_collection)
         return made
 
-    def make_change(self, change: Change) -> None:
+    def make_change(self, change: TenantChange) -> None:
         """Write a change to the file, read it, and give its settings to all balancers."""
         self.document.apply(change)
         self.document.write(self.file)
-        self.config = self.stalls.take("read_steps", load_config_steps(self.environ, self.config))
-        self.lookup = self.stalls.take("lookup_steps", lookup_steps(self.config, self.lookup))
+        self.config = self.stalls.run_steps("read_steps", load_config_steps(self.environ, self.config))
+        self.lookup = self.stalls.run_steps("lookup_steps", lookup_steps(self.config, self.lookup))
         for balancer in self.balancers:
             steps = next_version(balancer.settings_version, self.config.settings)
-            event = SettingsChanged(self.stalls.take("next_generation", steps))
-            began = now()
+            event = SettingsChanged(self.stalls.run_steps("next_generation", steps))
+            began = read_clocks()
             balancer.handle(balancer.context.now_us + 1, event)
-            self.stalls.note("handle(SettingsChanged)", began)
+            self.stalls.record("handle(SettingsChanged)", began)
 
 
-def measure_changes(path: str, count: int, seed: int, changes_to_make: list[Change]) -> ChangeCosts:
+def measure_changes(path: str, count: int, seed: int, changes_to_make: list[TenantChange]) -> ChangeCosts:
     """Make changes to `count` balancers at the size of a configuration file."""
     process = psutil.Process()
     measurement = ChangeMeasurement(Path(path))
@@ -169,7 +171,7 @@
     return ChangeCosts(
         balancers=count,
         changes=made,
-        steps=measurement.stalls.result(),
+        steps=measurement.stalls.costs(),
         bytes_each=(started_bytes - base_bytes) / count,
         bytes_each_after=(process.memory_info().rss - base_bytes) / count,
     )
@@ -178,10 +180,10 @@
 def warm_up(balancer: Balancer, seed: int, routes: int, tenants: int) -> None:
     """Serve requests at once, so that there is state of classes, tenants and endpoints to carry."""
     requests = schedule.requests(seed, "met", float(WARM_UP_REQUESTS), 1.0, routes, tenants, 1)
-    for number, (route, tenant) in enumerate(zip(requests.routes, requests.tenants, strict=True)):
-        request_id = f"met {number}"
-        now_us = 1_000_000 + 2_000 * number
-        arrived = RequestArrived(request_id, route, TIMEOUT_US, number, tenant=tenant)
+    for request_number, (route, tenant) in enumerate(zip(requests.routes, requests.tenants, strict=True)):
+        request_id = f"met {request_number}"
+        now_us = 1_000_000 + 2_000 * request_number
+        arrived = RequestArrived(request_id, route, TIMEOUT_US, request_number, tenant=tenant)
         sends = [action for action in balancer.handle(now_us, arrived) if isinstance(action, Send)]
         for send in sends[:1]:
             ended = AttemptEnded(request_id, 0, send.endpoint_id, Outcome.OK, 1_000, True)
@@ -192,17 +194,17 @@
     """Polls gateways and measures changes of settings, on command."""
 
     def __init__(self) -> None:
-        self.poll = ReadinessPoll()
+        self.poller = ReadinessPoller()
 
     async def handle(self, command: ChangeCommand) -> Any:
         """Carry out a command; returns its answer."""
         match command:
             case StartPolling():
-                return self.poll.start(command.gateways)
+                return self.poller.start(command.gateways)
             case StopPolling():
-                return await self.poll.stop()
+                return await self.poller.stop()
             case MeasureChanges():
-                changes_to_make = changes(command.seed, command.tenants, command.changes)
+                changes_to_make = generate_changes(command.seed, command.tenants, command.changes)
                 return measure_changes(command.path, command.count, command.seed, changes_to_make)
             case _:
                 assert_never(command)
--- a/lab/figures.py
+++ b/lab/figures.py
@@ -18,8 +18,8 @@
 from lab.rig import Rig
 from lab.statements import TARGETS
 
-FULL_CORE = 0.9  # of one process: it may no longer do everything when it is due
-UNITS = {
+SATURATED_CPU_SHARE = 0.9  # of one process: it may no longer do everything when it is due
+METRICS = {
     "resident_bytes": ("resident memory", 1e-3, "kB"),
     "ready_s": ("start to ready", 1e3, "ms"),
     "start_cpu_s": ("processor at start", 1e3, "ms"),
@@ -34,7 +34,7 @@
 }
 
 Scenarios = dict[str, ScenarioRecord]
-Summary = dict[str, float] | None  # of a histogram
+LatencySummary = dict[str, float] | None  # of a histogram
 
 
 class Traffic(msgspec.Struct, frozen=True):
@@ -56,90 +56,96 @@
     messages_per_s: float
     ready_s: float | UnsetType = UNSET
     start_cpu_s: float | UnsetType = UNSET
-    in_force: Summary | UnsetType = UNSET
+    in_force: LatencySummary | UnsetType = UNSET
     not_in_force: int | UnsetType = UNSET
     added: dict[str, Any] | None | UnsetType = UNSET
-    list_read: Summary | UnsetType = UNSET
+    list_read: LatencySummary | UnsetType = UNSET
     requests: dict[str, float] | UnsetType = UNSET
 
 
-def slopes(points: dict[str, list[Point]]) -> dict[str, Any]:
+def fit_slopes(points: dict[str, list[Point]]) -> dict[str, Any]:
     """By what is counted and what is measured, a line through the sizes that were played whole."""
-    found: dict[str, Any] = {}
+    fits: dict[str, Any] = {}
     for kind, all_points in points.items():
-        whole = [point for point in all_points if not point.get("over_bound") and not point.get("over_time")]
-        found[kind] = {
-            what: fit.line([point["size"] for point in whole], [point[what] for point in whole])
-            for what in UNITS
-            if all_points and any(what in point for point in whole)
+        completed = [
+            point for point in all_points if not point.get("over_bound") and not point.get("over_time")
+        ]
+        fits[kind] = {
+            metric: fit.line([point["size"] for point in completed], [point[metric] for point in completed])
+            for metric in METRICS
+            if all_points and any(metric in point for point in completed)
         }
-    return found
+    return fits
 
 
-def busy_share(scenarios: Scenarios, names: Iterable[str]) -> float:
+def cpu_share(scenarios: Scenarios, names: Iterable[str]) -> float:
     """Processor seconds a second of some processes over all scenarios."""
-    wanted = list(names)
-    took_s = sum(s.took_s for s in scenarios.values())
-    spent_s = sum(s.after.cpu_s[n] - s.before.cpu_s[n] for s in scenarios.values() for n in wanted)
+    process_names = list(names)
+    took_s = sum(scenario.took_s for scenario in scenarios.values())
+    spent_s = sum(
+        scenario.after.cpu_s[name] - scenario.before.cpu_s[name]
+        for scenario in scenarios.values()
+        for name in process_names
+    )
     return spent_s / took_s if took_s else 0.0
 
 
-def total_traffic(scenarios: Scenarios, count: Callable[[ScenarioRecord], Traffic]) -> Traffic:
+def total_traffic(scenarios: Scenarios, scenario_traffic: Callable[[ScenarioRecord], Traffic]) -> Traffic:
     """Of all scenarios together."""
-    counted = [count(scenario) for scenario in scenarios.values()]
-    return Traffic(sum(t.bytes for t in counted), sum(t.messages for t in counted))
+    traffics = [scenario_traffic(scenario) for scenario in scenarios.values()]
+    return Traffic(sum(traffic.bytes for traffic in traffics), sum(traffic.messages for traffic in traffics))
 
 
 def discovery_traffic(scenarios: Scenarios, gateway_kind: str) -> Traffic:
     """Between discovery and one kind of gateways."""
 
-    def count(scenario: ScenarioRecord) -> Traffic:
+    def scenario_traffic(scenario: ScenarioRecord) -> Traffic:
         before, after = scenario.before.registry[gateway_kind], scenario.after.registry[gateway_kind]
         return Traffic(after.bytes - before.bytes, after.messages - before.messages)
 
-    return total_traffic(scenarios, count)
+    return total_traffic(scenarios, scenario_traffic)
 
 
-def statement_traffic(scenarios: Scenarios, target: str) -> Traffic:
+def endpoint_traffic(scenarios: Scenarios, target: str) -> Traffic:
     """Between the statement servers and what comes from a target."""
 
-    def count(scenario: ScenarioRecord) -> Traffic:
+    def scenario_traffic(scenario: ScenarioRecord) -> Traffic:
         before, after = scenario.before.statements[target], scenario.after.statements[target]
         return Traffic(after.bytes - before.bytes, after.requests - before.requests)
 
-    return total_traffic(scenarios, count)
+    return total_traffic(scenarios, scenario_traffic)
 
 
 def client_traffic(scenarios: Scenarios, target: str) -> Traffic:
     """Between the clients and a target."""
 
-    def count(scenario: ScenarioRecord) -> Traffic:
+    def scenario_traffic(scenario: ScenarioRecord) -> Traffic:
         if not scenario.targets:
             return Traffic(0, 0)
         result = scenario.targets[target]
         return Traffic(result.bytes, sum(result.counts.values()))
 
-    return total_traffic(scenarios, count)
+    return total_traffic(scenarios, scenario_traffic)
 
 
-def make_role(scenarios: Scenarios, children: Sequence[Child], count: int, *traffic: Traffic) -> Role:
+def make_role(scenarios: Scenarios, children: Sequence[Child], count: int, *traffics: Traffic) -> Role:
     """The figures that all roles have, each one's part of `count`."""
-    took_s = sum(s.took_s for s in scenarios.values()) or 1.0
+    took_s = sum(scenario.took_s for scenario in scenarios.values()) or 1.0
     return Role(
         count=count,
         processes=len(children),
         resident_mb=sum(child.resident() for child in children) / count / 1e6,
-        cpu_s_per_s=busy_share(scenarios, (child.name for child in children)) / count,
-        busiest_cpu_s_per_s=max(busy_share(scenarios, [child.name]) for child in children),
-        bytes_per_s=sum(t.bytes for t in traffic) / took_s / count,
-        messages_per_s=sum(t.messages for t in traffic) / took_s / count,
+        cpu_s_per_s=cpu_share(scenarios, (child.name for child in children)) / count,
+        busiest_cpu_s_per_s=max(cpu_share(scenarios, [child.name]) for child in children),
+        bytes_per_s=sum(traffic.bytes for traffic in traffics) / took_s / count,
+        messages_per_s=sum(traffic.messages for traffic in traffics) / took_s / count,
     )
 
 
 def make_roles(rig: Rig, scenarios: Scenarios) -> dict[str, Role]:
     """All roles that the run had."""
     listed = {kind: discovery_traffic(scenarios, kind) for kind in ("real", "hollow")}
-    served = {target: statement_traffic(scenarios, target) for target in TARGETS}
+    served = {target: endpoint_traffic(scenarios, target) for target in TARGETS}
     sent = {target: client_traffic(scenarios, target) for target in TARGETS}
     roles = {
         "registry": make_role(scenarios, [rig.registry], 1, *listed.values()),
@@ -147,82 +153,89 @@
         "clients": make_role(scenarios, [rig.clients], 1, *sent.values()),
     }
     if rig.reals:
-        traffic = (listed["real"], served["gateway"], sent["gateway"])
-        roles["gateway"] = real_gateways(rig, scenarios, traffic)
+        traffics = (listed["real"], served["gateway"], sent["gateway"])
+        roles["gateway"] = make_real_gateways_role(rig, scenarios, traffics)
     if rig.simulated:
-        roles["hollow"] = simulated_gateways(rig, scenarios, listed["hollow"])
+        roles["hollow"] = make_simulated_gateways_role(rig, scenarios, listed["hollow"])
     return roles
 
 
-def real_gateways(rig: Rig, scenarios: Scenarios, traffic: Iterable[Traffic]) -> Role:
+def make_real_gateways_role(rig: Rig, scenarios: Scenarios, traffics: Iterable[Traffic]) -> Role:
     """The role of the real gateways."""
     children = [gateway.child for gateway in rig.reals]
-    role = make_role(scenarios, children, len(rig.reals), *traffic)
+    role = make_role(scenarios, children, len(rig.reals), *traffics)
     role.ready_s = max(gateway.ready_s for gateway in rig.reals)
     role.start_cpu_s = max(gateway.start_cpu_s for gateway in rig.reals)
-    role.in_force = join(s.probes.hist for s in without_outage(scenarios)).summary()
-    role.not_in_force = sum(s.probes.standing for s in scenarios.values())
-    role.added = added([s.targets for s in scenarios.values()])
+    role.in_force = merge_histograms(scenario.probes.hist for scenario in without_outage(scenarios)).summary()
+    role.not_in_force = sum(scenario.probes.standing for scenario in scenarios.values())
+    role.added = added_latency([scenario.targets for scenario in scenarios.values()])
     return role
 
 
-def simulated_gateways(rig: Rig, scenarios: Scenarios, traffic: Traffic) -> Role:
+def make_simulated_gateways_role(rig: Rig, scenarios: Scenarios, traffic: Traffic) -> Role:
     """The role of the simulated gateways."""
     gateways = rig.plan.simulated
     role = make_role(scenarios, rig.simulated, gateways, traffic)
     role.resident_mb -= rig.simulated_base / gateways / 1e6
-    role.in_force = join(s.in_force.hist for s in without_outage(scenarios)).summary()
-    stats = [s.after.simulated for s in scenarios.values()][-1]
-    role.list_read = join(Hist(one.list_read) for one in stats).summary()
-    role.ready_s = join(Hist(one.ready) for one in stats).at(99) / 1e3
-    counts = {what: sum(one.counts[what] for one in stats) for what in stats[0].counts}
-    spent_ns = sum(one.spent_ns for one in stats)
+    role.in_force = merge_histograms(
+        scenario.in_force.hist for scenario in without_outage(scenarios)
+    ).summary()
+    all_pool_stats = [scenario.after.simulated for scenario in scenarios.values()][-1]
+    role.list_read = merge_histograms(Hist(pool_stats.list_read) for pool_stats in all_pool_stats).summary()
+    role.ready_s = merge_histograms(Hist(pool_stats.ready) for pool_stats in all_pool_stats).at(99) / 1e3
+    counts = {
+        counter: sum(pool_stats.counts[counter] for pool_stats in all_pool_stats)
+        for counter in all_pool_stats[0].counts
+    }
+    spent_ns = sum(pool_stats.spent_ns for pool_stats in all_pool_stats)
     role.requests = {**counts, "request_us": spent_ns / 1e3 / max(1, counts["asked"])}
     return role
 
 
 def without_outage(scenarios: Scenarios) -> list[ScenarioRecord]:
     """Those in which discovery is up throughout, if there are any: an outage would be most of every p99."""
-    return [s for name, s in scenarios.items() if name != "outage"] or list(scenarios.values())
+    return [scenario for name, scenario in scenarios.items() if name != "outage"] or list(scenarios.values())
 
 
-def join(hists: Iterable[Hist]) -> Hist:
+def merge_histograms(histograms: Iterable[Hist]) -> Hist:
     """All in one."""
     total = Hist()
-    for hist in hists:
-        total.join(hist)
+    for histogram in histograms:
+        total.join(histogram)
     return total
 
 
-def added(results: Sequence[dict[str, TargetResult]]) -> dict[str, Any] | None:
+def added_latency(results: Sequence[dict[str, TargetResult]]) -> dict[str, Any] | None:
     """Latency through gateways and straight, and what gateways add, in milliseconds."""
     played = [targets for targets in results if targets]
-    hists = {target: join(Hist(targets[target].latency) for targets in played) for target in TARGETS}
+    histograms = {
+        target: merge_histograms(Hist(targets[target].latency) for targets in played) for target in TARGETS
+    }
     counts: dict[str, dict[str, int]] = {target: {} for target in TARGETS}
     for targets in played:
         for target in TARGETS:
-            for what, count in targets[target].counts.items():
-                counts[target][what] = counts[target].get(what, 0) + count
-    found: dict[str, Any] = {
-        target: {**(hists[target].summary() or {}), "answers": counts[target]} for target in TARGETS
+            for outcome, count in targets[target].counts.items():
+                counts[target][outcome] = counts[target].get(outcome, 0) + count
+    latencies: dict[str, Any] = {
+        target: {**(histograms[target].summary() or {}), "answers": counts[target]} for target in TARGETS
     }
-    if not all(hists[target].count for target in TARGETS):
-        return found
+    if not all(histograms[target].count for target in TARGETS):
+        return latencies
     for percent in (50, 99):
-        found[f"p{percent}_ms"] = hists["gateway"].at(percent) - hists["direct"].at(percent)
-    return found
+        latencies[f"p{percent}_ms"] = histograms["gateway"].at(percent) - histograms["direct"].at(percent)
+    return latencies
 
 
 def check_schedule(problems: Problems, late_ms: float) -> dict[str, Any]:
     """Whether the run kept its schedule; what was too late is added to the problems."""
-    late = {who: hist.summary() for who, hist in problems.late.items()}
-    for who, summary in late.items():
+    late = {process: histogram.summary() for process, histogram in problems.late.items()}
+    for process, summary in late.items():
         if summary is not None and summary["p99_ms"] > late_ms:
-            problems.schedule.append(f"{who} were late by {summary['p99_ms']:.1f} ms at p99")
+            problems.schedule.append(f"{process} were late by {summary['p99_ms']:.1f} ms at p99")
     return {"kept": not problems.schedule, "why": problems.schedule, "late": late, "bound_ms": late_ms}
 
 
-def machine() -> dict[str, Any]:
+def machine_info() -> dict[str, Any]:
     """Where the run was made."""
     return {
         "cores": psutil.cpu_count(),
@@ -241,31 +254,33 @@
         "gateway_in_force": scenario.probes.hist.summary(),
         "gateway_not_in_force": scenario.probes.standing,
         "probes": scenario.probes.count,
-        "added": added([scenario.targets]),
+        "added": added_latency([scenario.targets]),
     }
 
 
-def result(rig: Rig, points: dict[str, list[Point]], scenarios: Scenarios, took_s: float) -> dict[str, Any]:
+def build_result(
+    rig: Rig, points: dict[str, list[Point]], scenarios: Scenarios, took_s: float
+) -> dict[str, Any]:
     """All of a run; its figures are void where the schedule was not kept."""
     schedule = check_schedule(rig.problems, rig.plan.late_ms)
     last = list(scenarios.values())[-1:]
-    bad = sum(counters.bad for s in last for counters in s.after.statements.values())
+    bad = sum(counters.bad for scenario in last for counters in scenario.after.statements.values())
     if bad:
         rig.problems.broken.append(f"{bad} requests at the stand-ins were none of PROTOCOL's")
     roles = make_roles(rig, scenarios) if scenarios else {}
-    found = {
+    figures = {
         "roles": msgspec.to_builtins(roles),
         "scenarios": {name: scenario_figures(scenario) for name, scenario in scenarios.items()},
         "points": points,
-        "slopes": slopes(points),
+        "slopes": fit_slopes(points),
     }
     return {
         "plan": msgspec.to_builtins(rig.plan),
-        "machine": machine(),
+        "machine": machine_info(),
         "took_s": took_s,
         "schedule": schedule,
         "over_bound": rig.problems.over_bound,
         "broken": rig.problems.broken,
         "memory_most_mb": rig.children.most_bytes / 1e6,
-        "figures" if schedule["kept"] else "void": found,
+        "figures" if schedule["kept"] else "void": figures,
     }
--- a/lab/model/commands.py
+++ b/lab/model/commands.py
@@ -18,7 +18,7 @@
 from lab.model.policies import POLICIES
 from lab.model.results import Result, of_policy
 from lab.model.scenario import Scenario
-from lab.tables import table
+from lab.tables import format_table
 
 
 @click.command("run")
@@ -126,7 +126,7 @@
         rows += comparison.compare(of_policy(found, first), of_policy(found, other), other)[:1]
     if rows:
         print(f"\nAgainst {first}:")
-        print(table(comparison.COMPARE_COLUMNS, rows))
+        print(format_table(comparison.COMPARE_COLUMNS, rows))
 
 
 def check_policies(scenario: Scenario, name: str) -> tuple[str, ...]:
--- a/lab/model/comparison.py
+++ b/lab/model/comparison.py
@@ -9,7 +9,7 @@
 from lab.model.errors import UsageError
 from lab.model.results import FILE, Result, of_policy, read
 from lab.model.summary import COMPARED, figure
-from lab.tables import table
+from lab.tables import format_table
 
 RESAMPLES = 10_000
 CONFIDENCE = 95.0  # %
@@ -74,7 +74,7 @@
     rows: list[tuple[str, ...]] = []
     for policy in both:
         rows += compare(of_policy(results, policy), of_policy(other_results, policy), policy)
-    return table(COMPARE_COLUMNS, rows)
+    return format_table(COMPARE_COLUMNS, rows)
 
 
 def _read_folder(folder: Path) -> tuple[Result, list[Result]]:
--- a/lab/model/summary.py
+++ b/lab/model/summary.py
@@ -5,7 +5,7 @@
 import numpy as np
 
 from lab.model.results import Result
-from lab.tables import table
+from lab.tables import format_table
 
 COLUMNS = (
     "policy", "seeds", "G", "whole", "worst 10 s", "worst class", "worst tenant", "late", "refused", "failed",
@@ -54,7 +54,7 @@
         broken += f", {crashed} crashed" if crashed else ""
         times = [format_figure(mean(whole, name), 0) for name in ("p50_ms", "p99_ms")]
         rows.append((policy, str(len(whole)), *shares, *times, *map(format_figure, costs), broken))
-    return table(COLUMNS, rows)
+    return format_table(COLUMNS, rows)
 
 
 def broken_rules(results: list[Result]) -> list[str]:
--- a/lab/module.py
+++ b/lab/module.py
@@ -32,17 +32,17 @@
 from load_balancer.simulator.codec import parse_settings
 
 START_US = 1_000_000_000
-SPAN_S = 10.0  # spent at most on each of the three measurements
-REQUESTS = 3_000
-RESTARTS = 200
-GAP_S = 0.001  # mean time between two requests
-ANSWER_US = 5_000
+MAX_PHASE_S = 10.0  # spent at most on each of the three measurements
+REQUEST_COUNT = 3_000
+RESTART_COUNT = 200
+REQUEST_GAP_S = 0.001  # mean time between two requests
+SERVICE_TIME_US = 5_000
 ERROR_SHARE = 0.03  # of the attempts
-RESTART_GAP_US = 100_000
+RESTART_INTERVAL_US = 100_000
 WARM_UP_US = 60_000_000  # after the restarts, so that all endpoints have warmed up again
 # Overload: all servers together answer one request every so often, in turn, and more than twice as many come.
-OVERLOAD_GAP_S = 0.001
-OVERLOAD_TURN_US = 2_500
+OVERLOAD_REQUEST_GAP_S = 0.001
+OVERLOAD_SERVICE_TIME_US = 2_500
 
 
 class Size(NamedTuple):
@@ -60,13 +60,15 @@
     balancer: Balancer
     rng: np.random.Generator
     now_us: int = START_US
-    agenda: list[tuple[int, int, Event]] = field(default_factory=list)  # due, order of scheduling, event
-    spent_ns: dict[str, int] = field(default_factory=dict)  # by request id
-    other_ns: int = 0  # events that belong to no request
+    pending_events: list[tuple[int, int, Event]] = field(
+        default_factory=list
+    )  # due, order of scheduling, event
+    request_ns: dict[str, int] = field(default_factory=dict)  # by request id
+    other_events_ns: int = 0  # events that belong to no request
     refused: int = 0
     overloaded: bool = False
-    free_us: int = 0  # under overload: when the servers have answered what was sent by now
-    scheduled: int = 0
+    servers_free_us: int = 0  # under overload: when the servers have answered what was sent by now
+    scheduled_count: int = 0
     attempts: dict[str, int] = field(default_factory=dict)
 
     def handle(self, event: Event) -> None:
@@ -75,79 +77,85 @@
         actions = self.balancer.handle(self.now_us, event)
         took_ns = time.perf_counter_ns() - started_ns
         if isinstance(event, RequestArrived | AttemptEnded):
-            self.spent_ns[event.request_id] = self.spent_ns.get(event.request_id, 0) + took_ns
+            self.request_ns[event.request_id] = self.request_ns.get(event.request_id, 0) + took_ns
         else:
-            self.other_ns += took_ns
+            self.other_events_ns += took_ns
         for action in actions:
             if isinstance(action, Send):
-                self.answer(action)
+                self.schedule_answer(action)
             elif isinstance(action, SetTimer):
-                self.schedule(action.due_us, TimerFired(action.token))
+                self.schedule_event(action.due_us, TimerFired(action.token))
             elif isinstance(action, Reject | Fail):
                 self.refused += 1
 
     def handle_list(self, kind: ListKind, endpoints: tuple[Endpoint, ...]) -> float:
         """Give an endpoint list to the Balancer; returns the milliseconds that it took."""
-        self.other_ns = 0
+        self.other_events_ns = 0
         self.handle(EndpointListReceived(kind, endpoints))
-        return self.other_ns / 1e6
+        return self.other_events_ns / 1e6
 
-    def schedule(self, due_us: int, event: Event) -> None:
+    def schedule_event(self, due_us: int, event: Event) -> None:
         """Handle an event once the clock has reached a time."""
-        self.scheduled += 1
-        heapq.heappush(self.agenda, (due_us, self.scheduled, event))
+        self.scheduled_count += 1
+        heapq.heappush(self.pending_events, (due_us, self.scheduled_count, event))
 
-    def answer(self, send: Send) -> None:
+    def schedule_answer(self, send: Send) -> None:
         """Schedule the end of an attempt, at random as an error."""
-        number = self.attempts.get(send.request_id, 0)
-        self.attempts[send.request_id] = number + 1
-        after_us = ANSWER_US
+        attempt_number = self.attempts.get(send.request_id, 0)
+        self.attempts[send.request_id] = attempt_number + 1
+        after_us = SERVICE_TIME_US
         if self.overloaded:
-            self.free_us = max(self.free_us, self.now_us) + OVERLOAD_TURN_US
-            after_us += self.free_us - self.now_us
+            self.servers_free_us = max(self.servers_free_us, self.now_us) + OVERLOAD_SERVICE_TIME_US
+            after_us += self.servers_free_us - self.now_us
         outcome = Outcome.ERROR if self.rng.random() < ERROR_SHARE else Outcome.OK
-        ended = AttemptEnded(
-            send.request_id, number, send.endpoint_id, outcome, after_us, outcome is Outcome.OK
+        attempt_ended = AttemptEnded(
+            send.request_id, attempt_number, send.endpoint_id, outcome, after_us, outcome is Outcome.OK
         )
-        self.schedule(self.now_us + after_us, ended)
+        self.schedule_event(self.now_us + after_us, attempt_ended)
 
     def advance_to(self, due_us: int) -> None:
         """Handle all events that are due by a time, and set the clock to it."""
-        while self.agenda and self.agenda[0][0] <= due_us:
-            self.now_us, _, event = heapq.heappop(self.agenda)
+        while self.pending_events and self.pending_events[0][0] <= due_us:
+            self.now_us, _, event = heapq.heappop(self.pending_events)
             self.handle(event)
         self.now_us = due_us
 
-    def send_requests(self, seed: int, concern: str, size: Size, gap_s: float) -> dict[str, float]:
+    def send_requests(self, seed: int, stream_name: str, size: Size, mean_gap_s: float) -> dict[str, float]:
         """Send seeded requests; returns the microseconds of `handle` for a request with its outcomes."""
-        rng = schedule.stream(seed, concern)
-        times = schedule.arrivals(rng, 1.0 / gap_s, REQUESTS * gap_s)
+        rng = schedule.stream(seed, stream_name)
+        times = schedule.arrivals(rng, 1.0 / mean_gap_s, REQUEST_COUNT * mean_gap_s)
         routes = schedule.zipf(rng, size.routes, len(times)).tolist()
         tenants = schedule.zipf(rng, size.tenants, len(times)).tolist()
         arrivals = zip(times.tolist(), routes, tenants, strict=True)
-        self.spent_ns = {}
-        self.other_ns = 0
+        self.request_ns = {}
+        self.other_events_ns = 0
         self.refused = 0
         start_us = self.now_us
         started_s = time.monotonic()
-        for number, (at_s, route, tenant) in enumerate(arrivals):
-            self.advance_to(start_us + int(at_s * 1e6))
+        for request_number, (arrival_s, route, tenant) in enumerate(arrivals):
+            self.advance_to(start_us + int(arrival_s * 1e6))
             self.handle(
-                RequestArrived(f"{concern}{number}", route, 2_000_000, key=number * 7919, tenant=tenant)
+                RequestArrived(
+                    f"{stream_name}{request_number}",
+                    route,
+                    2_000_000,
+                    key=request_number * 7919,
+                    tenant=tenant,
+                )
             )
-            if time.monotonic() - started_s > SPAN_S:
+            if time.monotonic() - started_s > MAX_PHASE_S:
                 break
         self.advance_to(self.now_us + 3_000_000)
         return self.request_costs()
 
     def request_costs(self) -> dict[str, float]:
         """What the requests since the last start of sending have cost."""
-        spent_us = sorted(spent_ns / 1e3 for spent_ns in self.spent_ns.values())
+        spent_us = sorted(request_ns / 1e3 for request_ns in self.request_ns.values())
         return {
             "requests": len(spent_us),
             "p50_us": statistics.median(spent_us),
             "p99_us": spent_us[int(len(spent_us) * 0.99)],
-            "mean_us": (sum(spent_us) + self.other_ns / 1e3) / len(spent_us),
+            "mean_us": (sum(spent_us) + self.other_events_ns / 1e3) / len(spent_us),
             "refused_share": self.refused / len(spent_us),
         }
 
@@ -156,18 +164,18 @@
         rng = schedule.stream(seed, "restarts")
         took_ms = []
         started_s = time.monotonic()
-        for _ in range(RESTARTS):
-            self.advance_to(self.now_us + RESTART_GAP_US)
+        for _ in range(RESTART_COUNT):
+            self.advance_to(self.now_us + RESTART_INTERVAL_US)
             endpoint = endpoints[int(rng.integers(len(endpoints)))]
             restarted = replace(endpoint, started_us=self.now_us)
             took_ms.append(self.handle_list(ListKind.DELTA, (restarted,)))
-            if time.monotonic() - started_s > SPAN_S:
+            if time.monotonic() - started_s > MAX_PHASE_S:
                 break
         return took_ms
 
 
 @dataclass(frozen=True)
-class DriverCosts:
+class BalancerCosts:
     """What a driven Balancer has cost, by the names of the figures in a result."""
 
     events_ms: dict[str, float]
@@ -178,16 +186,16 @@
 def measure(size: Size, seed: int) -> dict[str, Any]:
     """One size: list and restart in milliseconds, request and outcome in microseconds, memory in bytes."""
     process = psutil.Process()
-    text = json.dumps(fleet.settings(size.routes, size.tenants))
+    settings_text = json.dumps(fleet.settings(size.routes, size.tenants))
     raw = {"endpoints": fleet.entries(size.servers, 3000)}  # held to the end: its memory isn't used again
     names = NameTable((), (), fleet.ZONES, ("m1",))
     endpoints = parse_list(raw, names).to_balancer_event().endpoints
     base_bytes = process.memory_info().rss
     started_s = time.perf_counter()
-    settings = parse_settings(text)
+    settings = parse_settings(settings_text)
     settings_ms = (time.perf_counter() - started_s) * 1e3
     settings_bytes = process.memory_info().rss - base_bytes
-    driven = measure_driven(settings, endpoints, size, seed)
+    costs = measure_balancer(settings, endpoints, size, seed)
     list_bytes = traced_list_bytes(settings, endpoints, seed)
     return {
         "servers": size.servers,
@@ -195,14 +203,16 @@
         "tenants": size.tenants,
         "settings_ms": settings_ms,
         "settings_memory_bytes": settings_bytes,
-        **driven.events_ms,
+        **costs.events_ms,
         "memory_list_bytes": list_bytes,
-        **driven.resident_bytes,
-        **driven.requests,
+        **costs.resident_bytes,
+        **costs.requests,
     }
 
 
-def measure_driven(settings: Settings, endpoints: tuple[Endpoint, ...], size: Size, seed: int) -> DriverCosts:
+def measure_balancer(
+    settings: Settings, endpoints: tuple[Endpoint, ...], size: Size, seed: int
+) -> BalancerCosts:
     """The times of a Balancer through lists, requests, restarts and overload, and its resident bytes."""
     process = psutil.Process()
     before_bytes = process.memory_info().rss
@@ -210,13 +220,13 @@
     list_ms = driver.handle_list(ListKind.CACHED, endpoints)
     list_bytes = process.memory_info().rss - before_bytes
     list_again_ms = driver.handle_list(ListKind.COMPLETE, endpoints)
-    calm = driver.send_requests(seed, "calm", size, GAP_S)
+    calm = driver.send_requests(seed, "calm", size, REQUEST_GAP_S)
     calm_bytes = process.memory_info().rss - before_bytes
     restarts_ms = driver.restart_endpoints(seed, endpoints)
     driver.advance_to(driver.now_us + WARM_UP_US)
     driver.overloaded = True
-    shedding = driver.send_requests(seed, "jam", size, OVERLOAD_GAP_S)
-    return DriverCosts(
+    shedding = driver.send_requests(seed, "jam", size, OVERLOAD_REQUEST_GAP_S)
+    return BalancerCosts(
         events_ms={
             "list_ms": list_ms,
             "list_again_ms": list_again_ms,
@@ -241,18 +251,22 @@
     return allocated_bytes
 
 
-def middle(results: list[dict[str, Any]]) -> dict[str, Any]:
+def median_result(results: list[dict[str, Any]]) -> dict[str, Any]:
     """Of several runs of one size, the median of each figure, and how far apart the calm ones lie."""
     if failed := [result for result in results if "failed" in result]:
         return failed[0]
 
-    def of(values: list[Any]) -> Any:
+    def median_of(values: list[Any]) -> Any:
         if isinstance(values[0], dict):
-            return {key: of([value[key] for value in values]) for key in values[0]}
+            return {key: median_of([value[key] for value in values]) for key in values[0]}
         return statistics.median(values)
 
     calm = [result["calm"]["p50_us"] for result in results]
-    return {**of(results), "runs": len(results), "spread": (max(calm) - min(calm)) / statistics.median(calm)}
+    return {
+        **median_of(results),
+        "runs": len(results),
+        "spread": (max(calm) - min(calm)) / statistics.median(calm),
+    }
 
 
 COLUMNS = (
@@ -261,12 +275,12 @@
 )  # fmt: skip
 
 
-def row(result: dict[str, Any]) -> list[str]:
+def result_row(result: dict[str, Any]) -> list[str]:
     """A line on a size."""
     size = f"{result['servers']}x{result['routes']}x{result['tenants']}"
     if "failed" in result:
         return [size, result["failed"]]
-    calm, jam = result["calm"], result["shedding"]
+    calm, shedding = result["calm"], result["shedding"]
     figures = [
         result["settings_ms"],
         result["list_ms"],
@@ -275,9 +289,9 @@
         calm["p50_us"],
         calm["p99_us"],
         calm["mean_us"],
-        jam["p50_us"],
-        jam["mean_us"],
-        jam["refused_share"],
+        shedding["p50_us"],
+        shedding["mean_us"],
+        shedding["refused_share"],
         result["memory_list_bytes"] / 1e6,
         result["resident_most_bytes"] / 1e6,
         result["spread"],
--- a/lab/readiness.py
+++ b/lab/readiness.py
@@ -23,16 +23,16 @@
     return int(head.split()[1]), await reader.readexactly(length)
 
 
-class ReadinessPoll:
+class ReadinessPoller:
     """Asks each gateway whether it is ready, again and again."""
 
     def __init__(self) -> None:
-        self.hist = Hist()
+        self.latency = Hist()
         self.tasks: list[asyncio.Task[None]] = []
 
     def start(self, gateways: Iterable[Address]) -> None:
         """Begin anew, with a connection to each gateway."""
-        self.hist = Hist()
+        self.latency = Hist()
         self.tasks = [asyncio.create_task(self._poll(host, port)) for host, port in gateways]
 
     async def _poll(self, host: str, port: int) -> None:
@@ -41,7 +41,7 @@
             while True:
                 began = time.perf_counter_ns()
                 await fetch(reader, writer, READY_REQUEST)
-                self.hist.add((time.perf_counter_ns() - began) / 1e3)
+                self.latency.add((time.perf_counter_ns() - began) / 1e3)
                 await asyncio.sleep(POLL_S)
         finally:
             writer.close()
@@ -53,4 +53,4 @@
                 task.result()
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
-        return self.hist.text()
+        return self.latency.text()
--- a/lab/reload.py
+++ b/lab/reload.py
@@ -12,9 +12,9 @@
 
 from lab import fit, records
 from lab.change_driver import ChangeDriver
-from lab.changes import changes
+from lab.changes import generate_changes
 from lab.child import Hist
-from lab.figures import check_schedule, machine
+from lab.figures import check_schedule, machine_info
 from lab.gateway_messages import (
     MeasureChanges,
     StartPolling,
@@ -25,18 +25,18 @@
 from lab.scale import WARM_S
 
 DAY_S = 86_400
-DAILY = 380  # changes a day that operators make
-TIMES = 10  # as often, for which the cost is counted
-GATEWAYS = 490
-PAUSE_MS = 5.0
-LEAST_CHANGES = 3
-SAMPLES = 20  # of memory
-CHANGES_ALONE = 5  # changes whose processor time is counted, with nothing else under way
+CHANGES_PER_DAY = 380  # changes a day that operators make
+RATE_FACTOR = 10  # as often, for which the cost is counted
+FLEET_GATEWAYS = 490
+MAX_PAUSE_MS = 5.0
+MIN_CHANGES = 3
+MEMORY_SAMPLES = 20  # of memory
+ISOLATED_CHANGES = 5  # changes whose processor time is counted, with nothing else under way
 MIN_WAIT_S = 0.2  # for each, at least
 WAIT_FACTOR = 3.0  # as long as the slowest change so far
 MAX_SIMULATED_CHANGES = 100  # the first ones
 
-LATENCIES = ("p50_ms", "p99_ms", "most_ms")
+LATENCY_KEYS = ("p50_ms", "p99_ms", "most_ms")
 
 
 class Plan(msgspec.Struct, frozen=True, kw_only=True):
@@ -58,10 +58,10 @@
     @property
     def changes_with_requests(self) -> int:
         """Changes while requests go on."""
-        return max(LEAST_CHANGES, int(self.seconds / self.every_s))
+        return max(MIN_CHANGES, int(self.seconds / self.every_s))
 
     @property
-    def lasts_s(self) -> float:
+    def request_phase_s(self) -> float:
         """Seconds of requests, once with changes and once without."""
         return max(self.seconds, self.changes_with_requests * self.every_s) + WARM_S
 
@@ -77,7 +77,7 @@
         seed=plan.seed,
         rate=plan.rate * plan.real,
         simulated_rate=0.0,
-        seconds=plan.lasts_s,
+        seconds=plan.request_phase_s,
         sweep_s=0.0,
         scenarios=(),
         memory_mb=plan.memory_mb,
@@ -85,7 +85,7 @@
     )
 
 
-class Reload:
+class ReloadRun:
     """The parts of a run; those that it has in common with `lab scale` are the rig's."""
 
     def __init__(self, plan: Plan, children: Children, out: Path, report_progress: ReportProgress) -> None:
@@ -93,7 +93,9 @@
         self.report_progress = report_progress
         self.rig = Rig(make_scale_plan(plan), children, out, report_progress)
         self.driver = ChangeDriver(
-            changes(plan.seed, plan.tenants, plan.changes_with_requests + CHANGES_ALONE + plan.changes),
+            generate_changes(
+                plan.seed, plan.tenants, plan.changes_with_requests + ISOLATED_CHANGES + plan.changes
+            ),
             self.rig.problems,
         )
 
@@ -105,101 +107,108 @@
         await rig.start_reals()
         self.poller = await rig.children.start("pulse", "lab.changes")
         for gateway in rig.reals:
-            self.driver.add(gateway, rig.out / "logs" / f"{gateway.child.name}.json")
+            self.driver.add_gateway(gateway, rig.out / "logs" / f"{gateway.child.name}.json")
 
-    async def with_clients(self, every_s: float | None) -> dict[str, Any]:
+    async def play_requests(self, every_s: float | None) -> dict[str, Any]:
         """Requests for a while, through the gateways and straight; with changes, or without."""
         plan = self.plan
         rig = self.rig
-        hists: dict[str, Hist] = {}
+        histograms: dict[str, Hist] = {}
         finish = await rig.play_clients(
-            rig.reals, plan.rate * plan.real, plan.lasts_s, plan.routes, plan.tenants, warm=WARM_S
+            rig.reals, plan.rate * plan.real, plan.request_phase_s, plan.routes, plan.tenants, warm=WARM_S
         )
-        begins = time.monotonic() + WARM_S
+        start_s = time.monotonic() + WARM_S
         await self.poller.ask(StartPolling(gateways=[gateway.address for gateway in rig.reals]))
-        for n in range(plan.changes_with_requests if every_s else 0):
-            await asyncio.sleep(max(0.0, begins + (n + 0.25) * plan.every_s - time.monotonic()))
-            await self.driver.make_change(hists)
+        for number in range(plan.changes_with_requests if every_s else 0):
+            await asyncio.sleep(max(0.0, start_s + (number + 0.25) * plan.every_s - time.monotonic()))
+            await self.driver.make_change(histograms)
         targets = await finish()
-        found: dict[str, Any] = {
-            name: {**(Hist(target.latency).summary() or {}), "answers": target.counts}
-            for name, target in targets.items()
+        result: dict[str, Any] = {
+            name: {**(Hist(target_result.latency).summary() or {}), "answers": target_result.counts}
+            for name, target_result in targets.items()
         }
-        found["loop"] = Hist(await self.poller.ask(StopPolling())).summary()
-        return found | ({"in_force": summaries(hists)} if every_s else {})
+        result["loop"] = Hist(await self.poller.ask(StopPolling())).summary()
+        return result | ({"in_force": summaries(histograms)} if every_s else {})
 
-    async def alone(self) -> dict[str, Any]:
+    async def measure_isolated_changes(self) -> dict[str, Any]:
         """Processor time of a change with no request under way, and no look until it is over."""
         reals = self.rig.reals
-        spent: list[float] = []
-        idle: list[float] = []
-        for _ in range(CHANGES_ALONE):
+        changed_cpu_s: list[float] = []
+        idle_cpu_s: list[float] = []
+        for _ in range(ISOLATED_CHANGES):
             wait_s = max(MIN_WAIT_S, WAIT_FACTOR * self.driver.slowest_s)
-            change = await self.driver.write()
-            for signals, into in ((False, idle), (True, spent)):
+            change = await self.driver.write_next_change()
+            for send_signals, cpu_samples in ((False, idle_cpu_s), (True, changed_cpu_s)):
                 before = [gateway.child.cpu_s() for gateway in reals]
-                if signals:
+                if send_signals:
                     for gateway in reals:
-                        self.driver.signal(gateway)
+                        self.driver.signal_reload(gateway)
                 await asyncio.sleep(wait_s)
-                into += [
+                cpu_samples += [
                     gateway.child.cpu_s() - before_s for gateway, before_s in zip(reals, before, strict=True)
                 ]
             for gateway in reals:
                 reader, writer = await asyncio.open_connection(*gateway.address)
-                if (await self.driver.ask(reader, writer, change))[0] != (200 if change.added else 400):
+                if (await self.driver.send_probe(reader, writer, change))[0] != (
+                    200 if change.added else 400
+                ):
                     self.rig.problems.broken.append(f"a change was not in force after {wait_s:g} s")
                 writer.close()
-        each_s = (sum(spent) - sum(idle)) / len(spent)
-        share = DAILY * TIMES * GATEWAYS * each_s / DAY_S
+        cpu_s_each = (sum(changed_cpu_s) - sum(idle_cpu_s)) / len(changed_cpu_s)
+        fleet_cores = CHANGES_PER_DAY * RATE_FACTOR * FLEET_GATEWAYS * cpu_s_each / DAY_S
         return {
-            "changes": CHANGES_ALONE,
-            "cpu_s_each": each_s,
-            "cpu_s_most": max(spent),
-            "idle_cpu_s_each": sum(idle) / len(idle),
+            "changes": ISOLATED_CHANGES,
+            "cpu_s_each": cpu_s_each,
+            "cpu_s_most": max(changed_cpu_s),
+            "idle_cpu_s_each": sum(idle_cpu_s) / len(idle_cpu_s),
             "file_bytes": self.driver.file_bytes,
-            "fleet_cores": share,
-            "gateway_core_share": share / GATEWAYS,
-            "arithmetic": f"{DAILY} changes a day x {TIMES} x {GATEWAYS} gateways x {each_s:.4f} s "
-            f"/ {DAY_S} s = {share:.3f} cores in all, {share / GATEWAYS:.2e} of a core at each gateway",
+            "fleet_cores": fleet_cores,
+            "gateway_core_share": fleet_cores / FLEET_GATEWAYS,
+            "arithmetic": f"{CHANGES_PER_DAY} changes a day x {RATE_FACTOR} x {FLEET_GATEWAYS} gateways "
+            f"x {cpu_s_each:.4f} s / {DAY_S} s = {fleet_cores:.3f} cores in all, "
+            f"{fleet_cores / FLEET_GATEWAYS:.2e} of a core at each gateway",
         }
 
-    async def many(self) -> dict[str, Any]:
+    async def measure_consecutive_changes(self) -> dict[str, Any]:
         """Changes one after the other without a wait; the memory that each gateway holds in between."""
         plan = self.plan
         rig = self.rig
-        hists: dict[str, Hist] = {}
-        every = max(1, plan.changes // SAMPLES)
-        held: dict[str, list[int]] = {gateway.child.name: [gateway.child.resident()] for gateway in rig.reals}
+        histograms: dict[str, Hist] = {}
+        sample_interval = max(1, plan.changes // MEMORY_SAMPLES)
+        resident_bytes: dict[str, list[int]] = {
+            gateway.child.name: [gateway.child.resident()] for gateway in rig.reals
+        }
         counts = [0]
-        began = time.monotonic()
+        started_s = time.monotonic()
         before = sum(gateway.child.cpu_s() for gateway in rig.reals)
-        for n in range(1, plan.changes + 1):
-            await self.driver.make_change(hists)
-            if n % every == 0:
-                counts.append(n)
+        for number in range(1, plan.changes + 1):
+            await self.driver.make_change(histograms)
+            if number % sample_interval == 0:
+                counts.append(number)
                 for gateway in rig.reals:
-                    held[gateway.child.name].append(gateway.child.resident())
-                self.report_progress(f"{n} changes")
+                    resident_bytes[gateway.child.name].append(gateway.child.resident())
+                self.report_progress(f"{number} changes")
         cpu_s = sum(gateway.child.cpu_s() for gateway in rig.reals) - before
-        warm = next((k for k, count in enumerate(counts) if count >= plan.changes / 10), 0)
+        first_sample = next(
+            (index for index, change_count in enumerate(counts) if change_count >= plan.changes / 10), 0
+        )
         return {
             "changes": plan.changes,
-            "took_s": time.monotonic() - began,
-            "in_force": summaries(hists),
+            "took_s": time.monotonic() - started_s,
+            "in_force": summaries(histograms),
             "cpu_s_each_with_polls": cpu_s / plan.changes / len(rig.reals),
             "memory": {
                 name: {
-                    "first_bytes": bytes_[0],
-                    "after_a_tenth_bytes": bytes_[warm],
-                    "last_bytes": bytes_[-1],
-                    "line": fit.line(counts[warm:], bytes_[warm:]),
+                    "first_bytes": samples[0],
+                    "after_a_tenth_bytes": samples[first_sample],
+                    "last_bytes": samples[-1],
+                    "line": fit.line(counts[first_sample:], samples[first_sample:]),
                 }
-                for name, bytes_ in held.items()
+                for name, samples in resident_bytes.items()
             },
         }
 
-    async def simulated(self) -> dict[str, Any]:
+    async def measure_simulated(self) -> dict[str, Any]:
         """The same changes at simulated gateways, step by step."""
         plan = self.plan
         path, _ = self.rig.write_config("hollow", plan.servers, plan.routes, plan.tenants, 0, plan.real)
@@ -211,58 +220,62 @@
             tenants=plan.tenants,
             changes=min(plan.changes, MAX_SIMULATED_CHANGES),
         )
-        found: dict[str, Any] = msgspec.to_builtins(await child.ask(command))
-        return found
+        result: dict[str, Any] = msgspec.to_builtins(await child.ask(command))
+        return result
 
 
-def summaries(hists: dict[str, Hist]) -> dict[str, Any]:
+def summaries(histograms: dict[str, Hist]) -> dict[str, Any]:
     """The summary of each histogram."""
-    return {what: hist.summary() for what, hist in hists.items()}
+    return {key: hist.summary() for key, hist in histograms.items()}
 
 
-def compare(quiet: dict[str, Any], changed: dict[str, Any]) -> dict[str, Any]:
+def compare_phases(without_changes: dict[str, Any], with_changes: dict[str, Any]) -> dict[str, Any]:
     """What changes add to requests through gateways, straight ones and answers of the loop alone."""
     added = {
-        who: {what: changed[who][what] - quiet[who][what] for what in LATENCIES}
-        for who in ("gateway", "direct", "loop")
-        if changed[who]
-        and quiet[who]
-        and all(what in changed[who] and what in quiet[who] for what in LATENCIES)
+        target: {key: with_changes[target][key] - without_changes[target][key] for key in LATENCY_KEYS}
+        for target in ("gateway", "direct", "loop")
+        if with_changes[target]
+        and without_changes[target]
+        and all(key in with_changes[target] and key in without_changes[target] for key in LATENCY_KEYS)
+    }
+    max_added_ms = [added.get(target, {}).get("most_ms", math.nan) for target in ("gateway", "loop")]
+    return {
+        "added": added,
+        "pause_over_5_ms": max_added_ms[0] > MAX_PAUSE_MS,
+        "loop_over_5_ms": max_added_ms[1] > MAX_PAUSE_MS,
     }
-    most = [added.get(who, {}).get("most_ms", math.nan) for who in ("gateway", "loop")]
-    return {"added": added, "pause_over_5_ms": most[0] > PAUSE_MS, "loop_over_5_ms": most[1] > PAUSE_MS}
 
 
 async def play(plan: Plan, out: Path, report_progress: ReportProgress) -> dict[str, Any]:
     """The whole run; every child has ended when it returns, also by an exception."""
-    began, figures = time.monotonic(), dict[str, Any]()
+    started_s, figures = time.monotonic(), dict[str, Any]()
     logs = out / "logs"
     logs.mkdir(parents=True, exist_ok=True)
     async with Children(plan.memory_mb, logs) as children:
-        run = Reload(plan, children, out, report_progress)
+        run = ReloadRun(plan, children, out, report_progress)
         try:
             await run.open()
-            report_progress(f"requests without changes: {plan.lasts_s:g} s")
-            quiet = figures["quiet"] = await run.with_clients(None)
-            report_progress(f"requests and {plan.changes_with_requests} changes: {plan.lasts_s:g} s")
-            changed = figures["changes"] = await run.with_clients(plan.every_s)
-            changed["count"], changed["every_s"] = plan.changes_with_requests, plan.every_s
-            changed["a_day"] = DAY_S / plan.every_s
-            changed["times_daily"] = DAY_S / plan.every_s / DAILY
-            figures |= compare(quiet, changed)
-            report_progress(f"{CHANGES_ALONE} changes alone")
-            figures["alone"] = await run.alone()
+            report_progress(f"requests without changes: {plan.request_phase_s:g} s")
+            without_changes = figures["quiet"] = await run.play_requests(None)
+            report_progress(f"requests and {plan.changes_with_requests} changes: {plan.request_phase_s:g} s")
+            with_changes = figures["changes"] = await run.play_requests(plan.every_s)
+            with_changes["count"], with_changes["every_s"] = plan.changes_with_requests, plan.every_s
+            with_changes["a_day"] = DAY_S / plan.every_s
+            with_changes["times_daily"] = DAY_S / plan.every_s / CHANGES_PER_DAY
+            figures |= compare_phases(without_changes, with_changes)
+            report_progress(f"{ISOLATED_CHANGES} changes alone")
+            figures["alone"] = await run.measure_isolated_changes()
             report_progress(f"{plan.changes} changes one after the other")
-            figures["many"] = await run.many()
+            figures["many"] = await run.measure_consecutive_changes()
             report_progress(f"{plan.simulated} hollow gateways")
-            figures["hollow"] = await run.simulated()
+            figures["hollow"] = await run.measure_simulated()
         except MemoryBoundError as error:
             run.rig.problems.over_bound.append(str(error))
         schedule = check_schedule(run.rig.problems, plan.late_ms)
         return {
             "plan": msgspec.to_builtins(plan),
-            "machine": machine(),
-            "took_s": time.monotonic() - began,
+            "machine": machine_info(),
+            "took_s": time.monotonic() - started_s,
             "schedule": schedule,
             "over_bound": run.rig.problems.over_bound,
             "broken": list(dict.fromkeys(run.rig.problems.broken)),
--- a/lab/report.py
+++ b/lab/report.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from lab.figures import FULL_CORE, UNITS
-from lab.tables import table
+from lab.figures import METRICS, SATURATED_CPU_SHARE
+from lab.tables import format_table
 
 ROLE_COLUMNS = (
     "role", "count", "MB", "cpu s/s", "kB/s", "messages/s", "in force ms p50", "p99", "most", "ready s",
@@ -19,82 +19,91 @@
 SLOPE_COLUMNS = ("of", "by one of", "slope", "unit", "at zero", "residual/rise", "sizes")
 
 
-def number(value: float | None) -> str:
+def format_number(value: float | None) -> str:
     """Three digits, or whole; "-" for none."""
     if value is None:
         return "-"
     return f"{value:.3g}" if abs(value) < 1000 else f"{value:.0f}"
 
 
-def problem_notes(found: dict[str, Any]) -> list[str]:
+def problem_notes(result: dict[str, Any]) -> list[str]:
     """A line for each thing that speaks against the figures."""
     return [
-        *(f"over the bound: {name}" for name in found["over_bound"]),
-        *(f"broken: {what}" for what in found["broken"]),
-        *(f"the schedule was not kept: {why}" for why in found["schedule"]["why"]),
+        *(f"over the bound: {name}" for name in result["over_bound"]),
+        *(f"broken: {problem}" for problem in result["broken"]),
+        *(f"the schedule was not kept: {why}" for why in result["schedule"]["why"]),
     ]
 
 
-def report(found: dict[str, Any]) -> str:
+def format_result(result: dict[str, Any]) -> str:
     """The tables: a line a role, a scenario, a slope. An overloaded rig has no figures, only the reasons."""
-    notes = problem_notes(found)
-    figures = found.get("figures")
+    notes = problem_notes(result)
+    figures = result.get("figures")
     if figures is None:
         return "\n".join([*notes, NO_FIGURES])
     busiest = {name: role["busiest_cpu_s_per_s"] for name, role in figures["roles"].items()}
-    notes += [f"{name}: one took {busy:.2f} of a core" for name, busy in busiest.items() if busy > FULL_CORE]
+    notes += [
+        f"{name}: one took {cpu_share:.2f} of a core"
+        for name, cpu_share in busiest.items()
+        if cpu_share > SATURATED_CPU_SHARE
+    ]
     tables = (
-        table(ROLE_COLUMNS, [role_row(name, role) for name, role in figures["roles"].items()]),
-        table(SCENARIO_COLUMNS, [scenario_row(name, day) for name, day in figures["scenarios"].items()]),
-        table(SLOPE_COLUMNS, slope_rows(figures)),
+        format_table(ROLE_COLUMNS, [role_row(name, role) for name, role in figures["roles"].items()]),
+        format_table(
+            SCENARIO_COLUMNS,
+            [scenario_row(name, scenario) for name, scenario in figures["scenarios"].items()],
+        ),
+        format_table(SLOPE_COLUMNS, slope_rows(figures)),
     )
     return "\n".join(["\n\n".join(tables), *notes])
 
 
 def role_row(name: str, role: dict[str, Any]) -> list[str]:
     """A line on a role."""
-    force, straight = role.get("in_force") or {}, role.get("added") or {}
+    in_force, added = role.get("in_force") or {}, role.get("added") or {}
     cells = [
         role["resident_mb"],
         role["cpu_s_per_s"],
         role["bytes_per_s"] / 1e3,
         role["messages_per_s"],
-        force.get("p50_ms"),
-        force.get("p99_ms"),
-        force.get("most_ms"),
+        in_force.get("p50_ms"),
+        in_force.get("p99_ms"),
+        in_force.get("most_ms"),
         role.get("ready_s"),
-        straight.get("p50_ms"),
-        straight.get("p99_ms"),
+        added.get("p50_ms"),
+        added.get("p99_ms"),
     ]
-    return [name, str(role["count"]), *map(number, cells)]
+    return [name, str(role["count"]), *map(format_number, cells)]
 
 
 def scenario_row(name: str, scenario: dict[str, Any]) -> list[str]:
     """A line on a scenario."""
     cells = [
-        (scenario[key] or {}).get(what)
+        (scenario[key] or {}).get(percentile)
         for key in ("hollow_in_force", "gateway_in_force")
-        for what in ("p50_ms", "p99_ms", "most_ms")
+        for percentile in ("p50_ms", "p99_ms", "most_ms")
     ]
-    straight = scenario["added"] or {}
-    cells += [scenario["gateway_not_in_force"], straight.get("p50_ms"), straight.get("p99_ms")]
-    return [name, str(scenario["changes"]), *map(number, cells)]
+    added = scenario["added"] or {}
+    cells += [scenario["gateway_not_in_force"], added.get("p50_ms"), added.get("p99_ms")]
+    return [name, str(scenario["changes"]), *map(format_number, cells)]
 
 
 def slope_rows(figures: dict[str, Any]) -> list[list[str]]:
     """A line on each slope."""
     rows = []
-    for kind, lines in figures["slopes"].items():
-        over = sum(bool(p.get("over_bound") or p.get("over_time")) for p in figures["points"][kind])
-        if not lines:
+    for kind, fits in figures["slopes"].items():
+        over_bound_count = sum(
+            bool(point.get("over_bound") or point.get("over_time")) for point in figures["points"][kind]
+        )
+        if not fits:
             rows.append(["all", f"{kind}: no size ended whole"])
-        for what, line in lines.items():
-            title, factor, unit = UNITS[what]
-            if line is None:
+        for metric, fit in fits.items():
+            title, factor, unit = METRICS[metric]
+            if fit is None:
                 rows.append([title, f"{kind}: too few sizes ended whole"])
                 continue
-            share, played = number(line["residual_share"]), str(len(line["sizes"]))
-            slope, at_zero = number(line["slope"] * factor), number(line["at_zero"] * factor)
-            played += f", {over} over" if over else ""
-            rows.append([title, kind, slope, unit, at_zero, share, played])
+            residual_share, sizes = format_number(fit["residual_share"]), str(len(fit["sizes"]))
+            slope, at_zero = format_number(fit["slope"] * factor), format_number(fit["at_zero"] * factor)
+            sizes += f", {over_bound_count} over" if over_bound_count else ""
+            rows.append([title, kind, slope, unit, at_zero, residual_share, sizes])
     return rows
--- a/lab/scale.py
+++ b/lab/scale.py
@@ -13,7 +13,7 @@
 
 from lab import schedule
 from lab.child import Hist
-from lab.figures import FULL_CORE, result
+from lab.figures import SATURATED_CPU_SHARE, build_result
 from lab.gateway_messages import (
     AddGateways,
     MeasureInForce,
@@ -218,7 +218,7 @@
     processes = ["registry", "statements", "clients", *(child.name for child in rig.simulated)]
     for process in processes:
         busy = (after.cpu_s[process] - before.cpu_s[process]) / (after.at - before.at)
-        if busy > FULL_CORE:
+        if busy > SATURATED_CPU_SHARE:
             rig.problems.schedule.append(f"{name}: {process} took {busy:.2f} of a core")
 
 
@@ -269,4 +269,4 @@
         points["gateways"] = await step_simulated(rig)
         await start_reals(rig)
         scenarios = await play_scenarios(rig)
-        return result(rig, points, scenarios, time.monotonic() - began)
+        return build_result(rig, points, scenarios, time.monotonic() - began)
--- a/lab/simulated_gateways.py
+++ b/lab/simulated_gateways.py
@@ -52,10 +52,10 @@
 TIMEOUT_US = 2_000_000
 ANSWER_S = 0.005
 ERROR_SHARE = 0.03
-PLANNED_S = 1.0  # of requests planned at a time
-DRAWS = 4096
+PLAN_INTERVAL_S = 1.0  # of requests planned at a time
+PLANNED_ANSWERS = 4096
 
-KnownChange = tuple[int, str, int]  # endpoint's id, status, start in us
+ChangeKey = tuple[int, str, int]  # endpoint's id, status, start in us
 
 
 class SimulatedGateway:
@@ -68,11 +68,11 @@
             pool.loop, config.discovery, config.names, config.settings.endpoints_are_pushed, self.receive
         )
         self.events: deque[Event] = deque()
-        self.busy = False
+        self.delivering = False
         self.attempts: dict[str, list[asyncio.TimerHandle | None]] = {}
-        self.servers: dict[tuple[str, int], int] = {}
+        self.endpoint_ids: dict[tuple[str, int], int] = {}
         self.began_ns = time.monotonic_ns()
-        self.lists = 0
+        self.list_count = 0
 
     def receive(self, message: WatchEvent) -> None:
         """Deliver what discovery sends, and note when it is in force."""
@@ -81,30 +81,30 @@
         self.deliver(event)
         done_ns = time.monotonic_ns()
         if not event.endpoints:
-            if self.lists:
+            if self.list_count:
                 return
         else:
-            self.pool.list_time.add((time.perf_counter_ns() - began) / 1e3)
-        self.lists += 1
-        if self.lists == 1:  # the list as last held, which the real gateway calls ready
+            self.pool.list_latency.add((time.perf_counter_ns() - began) / 1e3)
+        self.list_count += 1
+        if self.list_count == 1:  # the list as last held, which the real gateway calls ready
             self.pool.ready.add((done_ns - self.began_ns) / 1e3)
             return
-        for server in event.endpoints if event.kind is ListKind.DELTA else ():
-            key = (server.id, server.status.value, server.started_us)
+        for endpoint in event.endpoints if event.kind is ListKind.DELTA else ():
+            key = (endpoint.id, endpoint.status.value, endpoint.started_us)
             self.pool.received.setdefault(key, []).append(done_ns)
 
     def deliver(self, event: Event) -> None:
         """Give an event to the Balancer and execute what it decides."""
         self.events.append(event)
-        if self.busy:
+        if self.delivering:
             return
-        self.busy = True
+        self.delivering = True
         try:
             while self.events:
                 for action in self.balancer.handle(self.pool.clock.now_us(), self.events.popleft()):
                     self.execute(action)
         finally:
-            self.busy = False
+            self.delivering = False
 
     def execute(self, action: Action) -> None:
         """Execute an action as the real gateway does, but for connections and clients."""
@@ -113,11 +113,11 @@
             case Send():
                 counts["sent"] += 1
                 attempts = self.attempts.setdefault(action.request_id, [])
-                answer_s, outcome = self.pool.draw()
+                answer_s, outcome = self.pool.next_answer()
                 timer = loop.call_later(
                     answer_s, self.end_attempt, action.request_id, len(attempts), outcome, int(answer_s * 1e6)
                 )
-                self.servers[action.request_id, len(attempts)] = action.endpoint_id
+                self.endpoint_ids[action.request_id, len(attempts)] = action.endpoint_id
                 attempts.append(timer)
             case Cancel():
                 timer_or_none = self.attempts.get(action.request_id, [])[action.attempt]
@@ -126,7 +126,7 @@
                     loop.call_soon(self.end_attempt, action.request_id, action.attempt, Outcome.CANCELLED, 0)
             case Reject() | Fail():
                 counts["refused" if isinstance(action, Reject) else "failed"] += 1
-                self.forget_if_ended(action.request_id)
+                self.drop_if_ended(action.request_id)
             case SetTimer():
                 delay_us = action.due_us - self.pool.clock.now_us()
                 loop.call_later(max(0, delay_us) / 1e6, self.deliver, TimerFired(action.token))
@@ -138,15 +138,15 @@
     def end_attempt(self, request: str, attempt: int, outcome: Outcome, latency_us: int) -> None:
         """End an attempt as its draw says."""
         self.attempts[request][attempt] = None
-        server = self.servers.pop((request, attempt))
+        endpoint_id = self.endpoint_ids.pop((request, attempt))
         finished = outcome is Outcome.OK
         self.pool.counts["served"] += finished
         began = time.perf_counter_ns()
-        self.deliver(AttemptEnded(request, attempt, server, outcome, latency_us, finished))
+        self.deliver(AttemptEnded(request, attempt, endpoint_id, outcome, latency_us, finished))
         self.pool.spent_ns += time.perf_counter_ns() - began
-        self.forget_if_ended(request)
+        self.drop_if_ended(request)
 
-    def forget_if_ended(self, request: str) -> None:
+    def drop_if_ended(self, request: str) -> None:
         """Drop a request that has no attempt in flight."""
         if not any(self.attempts.get(request, ())):
             self.attempts.pop(request, None)
@@ -160,32 +160,32 @@
         self.clock = Clock()
         self.gateways: list[SimulatedGateway] = []
         self.config: Config | None = None
-        self.received: dict[KnownChange, list[int]] = {}
+        self.received: dict[ChangeKey, list[int]] = {}
         self.ready = Hist()
-        self.list_time = Hist()
+        self.list_latency = Hist()
         self.late = Hist()
         self.counts = dict.fromkeys(("asked", "sent", "served", "refused", "failed"), 0)
         self.spent_ns = 0
-        self.draws: list[tuple[float, Outcome]] = []
+        self.answers: list[tuple[float, Outcome]] = []
         self.requests: asyncio.Task[None] | None = None
 
-    def draw(self) -> tuple[float, Outcome]:
+    def next_answer(self) -> tuple[float, Outcome]:
         """Seconds until the next attempt ends, and how."""
-        return self.draws[self.counts["sent"] % len(self.draws)]
+        return self.answers[self.counts["sent"] % len(self.answers)]
 
-    def read(self, path: str, address: str, seed: int) -> None:
+    def read_config(self, path: str, address: str, seed: int) -> None:
         """The settings are held once for all gateways of the process."""
         raw = json.loads(Path(path).read_text(encoding="utf-8"))
         self.config = parse_config(raw | {"discovery": address})
         rng = schedule.stream(seed, "outcomes")
-        times = (ANSWER_S * (0.5 + rng.gamma(4.0, 0.125, DRAWS))).tolist()
-        failing = (rng.random(DRAWS) < ERROR_SHARE).tolist()
-        self.draws = [
+        latencies_s = (ANSWER_S * (0.5 + rng.gamma(4.0, 0.125, PLANNED_ANSWERS))).tolist()
+        failing = (rng.random(PLANNED_ANSWERS) < ERROR_SHARE).tolist()
+        self.answers = [
             (answer_s, Outcome.ERROR if fails else Outcome.OK)
-            for answer_s, fails in zip(times, failing, strict=True)
+            for answer_s, fails in zip(latencies_s, failing, strict=True)
         ]
 
-    async def add(self, count: int, first: int, seed: int) -> None:
+    async def add_gateways(self, count: int, first: int, seed: int) -> None:
         """Start more gateways, numbered from `first`."""
         assert self.config is not None
         for number in range(first, first + count):
@@ -198,25 +198,31 @@
     async def send_requests(self, rate: float, routes: int, tenants: int, seed: int) -> None:
         """Send requests at `rate` a second to each gateway, until cancelled."""
         start = time.monotonic()
-        part = 0
+        interval = 0
         while True:
-            planned = schedule.requests(
+            planned_requests = schedule.requests(
                 seed,
-                f"hollow {part}",
+                f"hollow {interval}",
                 rate * len(self.gateways),
-                PLANNED_S,
+                PLAN_INTERVAL_S,
                 routes,
                 tenants,
                 len(self.gateways),
             )
-            arrivals = zip(planned.times_s, planned.routes, planned.tenants, planned.targets, strict=True)
-            for at_s, route, tenant, target in arrivals:
-                wait_s = start + part * PLANNED_S + at_s - time.monotonic()
+            arrivals = zip(
+                planned_requests.times_s,
+                planned_requests.routes,
+                planned_requests.tenants,
+                planned_requests.targets,
+                strict=True,
+            )
+            for arrival_s, route, tenant, target in arrivals:
+                wait_s = start + interval * PLAN_INTERVAL_S + arrival_s - time.monotonic()
                 if wait_s > 0:
                     await asyncio.sleep(wait_s)
-                self.late.add((time.monotonic() - start - part * PLANNED_S - at_s) * 1e6)
+                self.late.add((time.monotonic() - start - interval * PLAN_INTERVAL_S - arrival_s) * 1e6)
                 self.counts["asked"] += 1
-                began = time.perf_counter_ns()
+                started = time.perf_counter_ns()
                 self.gateways[target].deliver(
                     RequestArrived(
                         str(self.counts["asked"]),
@@ -226,22 +232,22 @@
                         tenant=tenant,
                     )
                 )
-                self.spent_ns += time.perf_counter_ns() - began
-            part += 1
-            await asyncio.sleep(max(0.0, start + part * PLANNED_S - time.monotonic()))
+                self.spent_ns += time.perf_counter_ns() - started
+            interval += 1
+            await asyncio.sleep(max(0.0, start + interval * PLAN_INTERVAL_S - time.monotonic()))
 
     def measure_in_force(self, changes: list[WrittenChange]) -> InForce:
         """From each change at discovery to its being in force, over all gateways here."""
-        hist = Hist()
+        histogram = Hist()
         unseen = 0
         for change in changes:
             key = (change.endpoint_id, change.status, change.started_us)
             received = self.received.get(key, ())
             for done_ns in received:
-                hist.add((done_ns - change.written_ns) / 1e3)
+                histogram.add((done_ns - change.written_ns) / 1e3)
             unseen += max(0, len(self.gateways) - len(received))
         self.received.clear()
-        return InForce(hist.text(), unseen)
+        return InForce(histogram.text(), unseen)
 
     async def stop_requests(self) -> None:
         """Send no more requests; raises what has ended them before."""
@@ -256,11 +262,11 @@
         """Carry out a command; returns its answer."""
         match command:
             case ReadConfig():
-                self.read(command.path, command.address, command.seed)
+                self.read_config(command.path, command.address, command.seed)
                 return psutil.Process().memory_info().rss
             case AddGateways():
                 await self.stop_requests()
-                await self.add(command.count, command.first, command.seed)
+                await self.add_gateways(command.count, command.first, command.seed)
             case StartRequests():
                 await self.stop_requests()
                 # A full collection would walk all the gateways here for the garbage of one.
@@ -283,7 +289,7 @@
         return PoolStats(
             gateways=len(self.gateways),
             ready=self.ready.text(),
-            list_read=self.list_time.text(),
+            list_read=self.list_latency.text(),
             late=self.late.text(),
             counts=self.counts,
             spent_ns=self.spent_ns,
--- a/lab/stalls.py
+++ b/lab/stalls.py
@@ -12,7 +12,7 @@
 T = TypeVar("T")
 
 
-def now() -> tuple[int, int]:
+def read_clocks() -> tuple[int, int]:
     """Nanoseconds on the clock and of this thread on the processor."""
     return time.perf_counter_ns(), time.thread_time_ns()
 
@@ -25,42 +25,42 @@
 
     def __init__(self) -> None:
         self.hists: dict[str, Hist] = {}
-        self.longest: dict[str, tuple[float, int]] = {}  # processor's milliseconds, and which step it was
-        self.began = (0, 0)
+        self.max_cpu: dict[str, tuple[float, int]] = {}  # processor's milliseconds, and which step it was
+        self.started = (0, 0)
 
-    def note(self, name: str, began: tuple[int, int], step: int = 0) -> None:
+    def record(self, name: str, started: tuple[int, int], step: int = 0) -> None:
         """Record a step that has begun at a time and ends now."""
-        done = now()
-        self.hists.setdefault(name, Hist()).add((done[0] - began[0]) / 1e3)
-        self.longest[name] = max(self.longest.get(name, (0.0, 0)), ((done[1] - began[1]) / 1e6, step))
+        ended = read_clocks()
+        self.hists.setdefault(name, Hist()).add((ended[0] - started[0]) / 1e3)
+        self.max_cpu[name] = max(self.max_cpu.get(name, (0.0, 0)), ((ended[1] - started[1]) / 1e6, step))
 
-    def take(self, name: str, steps: Steps[T]) -> T:
+    def run_steps(self, name: str, steps: Steps[T]) -> T:
         """Run all steps and record each; returns their result."""
         step = 0
         while True:
-            began = now()
+            started = read_clocks()
             try:
                 next(steps)
             except StopIteration as end:
                 result: T = end.value
                 return result
             finally:
-                self.note(name, began, step)
+                self.record(name, started, step)
                 step += 1
 
-    def collecting(self, phase: str, info: dict[str, int]) -> None:
+    def on_collection(self, phase: str, info: dict[str, int]) -> None:
         """Record a garbage collection; a callback of `gc`."""
         if phase == "start":
-            self.began = now()
+            self.started = read_clocks()
         else:
-            self.note(f"collection of generation {info['generation']}", self.began)
+            self.record(f"collection of generation {info['generation']}", self.started)
 
-    def result(self) -> dict[str, StepCost]:
+    def costs(self) -> dict[str, StepCost]:
         """The cost of each kind of step, by its name."""
         return {name: self._cost(name, hist) for name, hist in self.hists.items()}
 
     def _cost(self, name: str, hist: Hist) -> StepCost:
-        most_cpu_ms, step = self.longest[name]
+        most_cpu_ms, step = self.max_cpu[name]
         return StepCost(
             count=hist.count,
             p50_ms=hist.at(50),
--- a/lab/up.py
+++ b/lab/up.py
@@ -13,16 +13,16 @@
 from lab.processes import ROOT, Child, Children
 from lab.rig import ReportProgress, is_ready
 
-EXAMPLE = ROOT / "deploy" / "example.json"
-SERVERS = 5
-GATEWAYS = 2
+EXAMPLE_CONFIG = ROOT / "deploy" / "example.json"
+ENDPOINT_COUNT = 5
+GATEWAY_COUNT = 2
 MEMORY_MB = 1000
-START_S = 20.0  # until a gateway is ready, at most
+START_TIMEOUT_S = 20.0  # until a gateway is ready, at most
 POLL_S = 0.02
 REQUEST_ID = "0000000000000001"
 
 
-async def up(raw: dict[str, Any], folder: Path, say: ReportProgress) -> None:
+async def run_deployment(raw: dict[str, Any], folder: Path, print_command: ReportProgress) -> None:
     """Run the deployment that a configuration's object describes until cancelled; no child outlives it.
 
     Its own addresses are put in the place of those that stand there. `say` is given one line: a command that
@@ -36,10 +36,12 @@
         statements = await children.start("statements", "lab.statements")
         discovery = (await registry.ask(ListenForCalls()))["real"]
         port = (await statements.ask(ListenForStatements(seed=1)))["gateway"]
-        await registry.ask(SetFleet(endpoints=SERVERS, port=port))
-        starting = [start(children, folder, raw, discovery, number) for number in range(GATEWAYS)]
+        await registry.ask(SetFleet(endpoints=ENDPOINT_COUNT, port=port))
+        starting = [
+            start_gateway(children, folder, raw, discovery, number) for number in range(GATEWAY_COUNT)
+        ]
         gateways = await asyncio.gather(*starting)
-        say(curl(gateways[0][1], raw["settings"]))
+        print_command(curl_command(gateways[0][1], raw["settings"]))
         try:
             while True:
                 for child in children.running:
@@ -49,31 +51,35 @@
             await asyncio.gather(*(child.end() for child, _ in gateways))
 
 
-async def start(
+async def start_gateway(
     children: Children, folder: Path, raw: dict[str, Any], discovery: str, number: int
 ) -> tuple[Child, Address]:
     """A gateway of this number, once it is ready."""
     host = f"127.0.1.{number + 1}"
-    with socket.create_server((host, 0)) as free:
-        port = free.getsockname()[1]
+    with socket.create_server((host, 0)) as reserved:
+        port = reserved.getsockname()[1]
     name = f"gateway-{number}"
-    settings = {**raw["settings"], "balancers": GATEWAYS, "index": number}
-    own = {"name": name, "listen": f"{host}:{port}", "discovery": discovery, "settings": settings}
+    settings = {**raw["settings"], "balancers": GATEWAY_COUNT, "index": number}
+    overrides = {"name": name, "listen": f"{host}:{port}", "discovery": discovery, "settings": settings}
     path = folder / f"{name}.json"
-    path.write_text(json.dumps({**raw, **own}), encoding="utf-8")
+    path.write_text(json.dumps({**raw, **overrides}), encoding="utf-8")
     child = await children.start(name, "load_balancer", ROUTER_CONFIG=str(path))
-    async with asyncio.timeout(START_S):
+    async with asyncio.timeout(START_TIMEOUT_S):
         while not await is_ready(host, port):
             child.check()
             await asyncio.sleep(POLL_S)
     return child, (host, port)
 
 
-def curl(gateway: Address, settings: dict[str, Any]) -> str:
+def curl_command(gateway: Address, settings: dict[str, Any]) -> str:
     """A command that asks for the first route whose requests may be repeated at will."""
     route = next(lane["name"] for lane in settings["lanes"] if lane.get("effect") == "free")
     headers = {"Request-Id": REQUEST_ID, "Request-Class": route, "Request-Timeout-Ms": "2000"}
     if settings.get("tenants"):
         headers["Tenant"] = settings["tenants"][0]["name"]
-    words = [word for name, value in headers.items() for word in ("-H", f"{name}: {value}")]
-    return shlex.join(["curl", "-i", *words, f"http://{gateway[0]}:{gateway[1]}/{route}?user=00ff"])
+    header_arguments = [
+        argument for name, value in headers.items() for argument in ("-H", f"{name}: {value}")
+    ]
+    return shlex.join(
+        ["curl", "-i", *header_arguments, f"http://{gateway[0]}:{gateway[1]}/{route}?user=00ff"]
+    )
--- a/tests/lab/conftest.py
+++ b/tests/lab/conftest.py
@@ -15,10 +15,12 @@
     """Runs are played in this process; policy and seed of each."""
     runs: list[tuple[str, int]] = []
 
-    def in_turn(plan: experiment.Plan, tasks: list[tuple[str, int]], _jobs: int) -> Iterator[dict[str, Any]]:
+    def play_sequentially(
+        plan: experiment.Plan, tasks: list[tuple[str, int]], _jobs: int
+    ) -> Iterator[dict[str, Any]]:
         for task in tasks:
             runs.append(task)
             yield experiment.play(plan.scenario, *task)
 
-    monkeypatch.setattr(experiment, "play_all", in_turn)
+    monkeypatch.setattr(experiment, "play_all", play_sequentially)
     return runs
--- a/tests/lab/test_changes.py
+++ b/tests/lab/test_changes.py
@@ -6,22 +6,22 @@
 from pathlib import Path
 
 from lab import fleet
-from lab.changes import Document, changes
+from lab.changes import ConfigDocument, generate_changes
 
 
-def test_equal_seeds_give_equal_changes_each_of_one_tenant(tmp_path: Path) -> None:
-    one, same, other = (changes(seed, tenants=5, count=20) for seed in (1, 1, 2))
-    assert one == same
-    assert one != other
-    assert one[:7] == changes(1, tenants=5, count=7)
+def test_equal_seeds_generate_equal_changes_of_one_tenant_each(tmp_path: Path) -> None:
+    first, repeated, other_seed = (generate_changes(seed, tenants=5, count=20) for seed in (1, 1, 2))
+    assert first == repeated
+    assert first != other_seed
+    assert first[:7] == generate_changes(1, tenants=5, count=7)
     settings = fleet.settings(routes=2, tenants=5)
-    document, path = Document({"name": "n0", "settings": settings}), tmp_path / "config.json"
-    for before, change in zip([None, *one[:7]], one[:8], strict=True):
+    document, path = ConfigDocument({"name": "n0", "settings": settings}), tmp_path / "config.json"
+    for previous, change in zip([None, *first[:7]], first[:8], strict=True):
         document.apply(change)
         assert document.write(path) == path.stat().st_size
-        found = json.loads(path.read_text())
-        new = {tenant["name"] for tenant in found["settings"].pop("tenants")}
-        new -= {tenant["name"] for tenant in settings["tenants"]}
-        assert new == ({fleet.tenant(change.number)} if change.added else set())
-        assert before is None or before.added != change.added
-        assert found["settings"] == {k: v for k, v in settings.items() if k != "tenants"}
+        written = json.loads(path.read_text())
+        added_names = {tenant["name"] for tenant in written["settings"].pop("tenants")}
+        added_names -= {tenant["name"] for tenant in settings["tenants"]}
+        assert added_names == ({fleet.tenant(change.tenant_number)} if change.added else set())
+        assert previous is None or previous.added != change.added
+        assert written["settings"] == {key: value for key, value in settings.items() if key != "tenants"}
--- a/tests/lab/test_main.py
+++ b/tests/lab/test_main.py
@@ -28,7 +28,7 @@
         ("module", "--out", "/none/x"),
     ],
 )
-def test_bad_arguments_are_one_line_and_exit_code_2(
+def test_invalid_arguments_print_one_line_and_exit_with_code_2(
     arguments: tuple[str, ...],
     capsys: pytest.CaptureFixture[str],
     tmp_path: Path,
@@ -37,8 +37,8 @@
     monkeypatch.chdir(tmp_path)
     with pytest.raises(SystemExit) as ended:
         lab.main(list(arguments))
-    told = capsys.readouterr()
+    captured = capsys.readouterr()
     assert ended.value.code == 2
-    assert not told.out
-    (line,) = told.err.splitlines()
+    assert not captured.out
+    (line,) = captured.err.splitlines()
     assert line.startswith("lab: ")
--- a/tests/lab/test_module.py
+++ b/tests/lab/test_module.py
@@ -10,7 +10,7 @@
 from lab.__main__ import lab
 
 
-def test_the_decisions_alone_are_measured(capsys: pytest.CaptureFixture[str], tmp_path: Path) -> None:
+def test_module_command_measures_the_balancer(capsys: pytest.CaptureFixture[str], tmp_path: Path) -> None:
     with pytest.raises(SystemExit) as ended:
         lab.main(["module", "--size", "6x2x3", "--repeat", "2", "--out", str(tmp_path / "out.json")])
     assert ended.value.code == 0
@@ -22,7 +22,7 @@
     assert size["restart_ms"] > 0
 
 
-def test_a_size_over_the_bound_is_said_so(capsys: pytest.CaptureFixture[str]) -> None:
+def test_size_over_the_memory_bound_is_reported(capsys: pytest.CaptureFixture[str]) -> None:
     with pytest.raises(SystemExit) as ended:
         lab.main(["module", "--size", "6x2x3", "--memory-mb", "1"])
     assert ended.value.code == 1
--- a/tests/lab/test_reload.py
+++ b/tests/lab/test_reload.py
@@ -9,8 +9,8 @@
 from typing import Any
 
 
-def test_a_tiny_reload_run_says_how_soon_changes_are_in_force(tmp_path: Path) -> None:
-    tiny = (
+def test_small_reload_run_reports_how_soon_changes_are_in_force(tmp_path: Path) -> None:
+    size_options = (
         "--servers=8",
         "--routes=4",
         "--tenants=4",
@@ -19,15 +19,18 @@
         "--rate=50",
         "--seconds=0.5",
     )
-    more = ("--every-s=0.2", "--changes=6", "--late-ms=1000", "--out", str(tmp_path))
-    ended = subprocess.run(
-        [sys.executable, "-m", "lab", "reload", *tiny, *more], capture_output=True, text=True, timeout=110
+    run_options = ("--every-s=0.2", "--changes=6", "--late-ms=1000", "--out", str(tmp_path))
+    completed = subprocess.run(
+        [sys.executable, "-m", "lab", "reload", *size_options, *run_options],
+        capture_output=True,
+        text=True,
+        timeout=110,
     )
-    assert ended.returncode == 0, ended.stderr + ended.stdout
-    found: dict[str, Any] = json.loads((tmp_path / "result.json").read_text())
-    figures = found["figures"]
-    assert not found["broken"]
-    assert not found["over_bound"]
+    assert completed.returncode == 0, completed.stderr + completed.stdout
+    result: dict[str, Any] = json.loads((tmp_path / "result.json").read_text())
+    figures = result["figures"]
+    assert not result["broken"]
+    assert not result["over_bound"]
     assert "pause_over_5_ms" in figures
     assert figures["changes"]["in_force"]["from_signal"]["count"] == figures["changes"]["count"] == 3
     assert figures["many"]["in_force"]["from_signal"]["count"] == 6
--- a/tests/lab/test_stored_results.py
+++ b/tests/lab/test_stored_results.py
@@ -18,7 +18,7 @@
 
 from lab import report
 from lab.__main__ import lab
-from lab.figures import slopes
+from lab.figures import fit_slopes
 from lab.model import experiment, scenario_files, summary
 from lab.model.knobs import apply_knobs, parse_knob
 from lab.model.results import FILE, Result, of_policy, read, write
@@ -32,7 +32,7 @@
 TINY = FIXTURES / "tiny.toml"
 ORDINARY = FIXTURES / "ordinary.toml"
 KNOBS: dict[str, int | float] = json.loads((FIXTURES / "knobs.json").read_text(encoding="utf-8"))
-PICTURES = {
+CHARTS = {
     "policies-side-by-side": 1,
     "served-worth-over-time": 1,
     "latency-percentiles": 1,
@@ -41,10 +41,10 @@
     "broken-rules": 0,  # no rule was broken
     "cost-by-kind": 1,
 }
-EFFECTS: dict[str, dict[str, float]] = json.loads(
+KNOB_EFFECTS: dict[str, dict[str, float]] = json.loads(
     (FIXTURES / "knob_effects.json").read_text(encoding="utf-8")
 )
-ABSENT = 127  # exit code of a shell that does not find a command
+EXIT_COMMAND_NOT_FOUND = 127  # exit code of a shell that does not find a command
 
 
 def call_lab(*arguments: str | Path) -> int:
@@ -62,7 +62,7 @@
     return header, results
 
 
-def count_pictures(page: str) -> dict[str, int]:
+def count_charts(page: str) -> dict[str, int]:
     """By section of a report's page."""
     sections = page.split('<section id="')[1:]
     return {section.partition('"')[0]: section.count("<svg") for section in sections}
@@ -87,7 +87,7 @@
     assert capsys.readouterr().out == (FIXTURES / "lab_run_compared.txt").read_text(encoding="utf-8")
 
 
-def test_compare_takes_a_stored_folder_with_a_new_one(
+def test_compare_accepts_a_stored_and_a_new_folder(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert run_policy(TINY, 5, tmp_path / "new") == 0
@@ -110,7 +110,7 @@
     page = (copy / "report.html").read_text(encoding="utf-8")
     assert "<h1>Fleet model: tiny</h1>" in page
     assert f"Policies: 2; seeds: 5; knobs: {knobs};" in page
-    assert count_pictures(page) == PICTURES
+    assert count_charts(page) == CHARTS
     assert page.index(">rosedeal</span>") < page.index(">random</span>")  # in the order of the policies
 
 
@@ -135,7 +135,7 @@
     assert results == expected["results"]
 
 
-def test_the_delivered_scenario_is_the_stored_one() -> None:
+def test_shipped_scenario_equals_the_stored_one() -> None:
     assert scenario_files.load(scenario_files.find("ordinary")) == scenario_files.load(ORDINARY)
 
 
@@ -166,7 +166,7 @@
     assert type(knob.value) is type(value)
 
 
-@pytest.mark.parametrize("text", EFFECTS)
+@pytest.mark.parametrize("text", KNOB_EFFECTS)
 def test_each_stored_knob_has_its_stored_effect(text: str) -> None:
     """Of the names in knobs.json, those that change the first seed of tiny.toml when halved or doubled."""
     knob, name = parse_knob(text), text.partition("=")[0]
@@ -175,7 +175,7 @@
         result = experiment.play(scenario_files.load(TINY), "rosedeal", 1)
     finally:
         apply_knobs([parse_knob(f"{name}={KNOBS[name]}")])
-    assert {figure: result.get(figure) for figure in EFFECTS[text]} == EFFECTS[text]
+    assert {figure: result.get(figure) for figure in KNOB_EFFECTS[text]} == KNOB_EFFECTS[text]
 
 
 # Results of `lab scale`
@@ -187,22 +187,20 @@
 
 
 def test_a_stored_scale_result_gives_its_table(stored_scale: dict[str, Any]) -> None:
-    assert report.report(stored_scale) + "\n" == (SCALE / "table.txt").read_text(encoding="utf-8")
+    assert report.format_result(stored_scale) + "\n" == (SCALE / "table.txt").read_text(encoding="utf-8")
 
 
-def test_slopes_are_found_again_from_the_stored_points(stored_scale: dict[str, Any]) -> None:
+def test_slopes_are_reproduced_from_the_stored_points(stored_scale: dict[str, Any]) -> None:
     figures = stored_scale["figures"]
-    found = slopes(figures["points"])
-    assert found.keys() == figures["slopes"].keys()
+    fits = fit_slopes(figures["points"])
+    assert fits.keys() == figures["slopes"].keys()
     for kind, lines in figures["slopes"].items():
-        assert found[kind].keys() == lines.keys()
+        assert fits[kind].keys() == lines.keys()
         for what, line in lines.items():
-            assert found[kind][what]["slope"] == pytest.approx(line["slope"])
+            assert fits[kind][what]["slope"] == pytest.approx(line["slope"])
 
 
-def test_report_says_that_a_scale_folder_is_none_of_its_own(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str]
-) -> None:
+def test_report_rejects_a_scale_folder(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     copy = Path(shutil.copytree(SCALE, tmp_path / "stored"))
     assert call_lab("report", copy) == 2
     expected = "expected a folder with results that lab run has written"
@@ -241,18 +239,18 @@
     return done.returncode, called.read_text().splitlines() if called.exists() else []
 
 
-def test_a_finished_build_is_left_as_it_is(build_folder: Path) -> None:
+def test_finished_build_is_not_repeated(build_folder: Path) -> None:
     assert run_build(build_folder) == (0, [])
     marker = build_folder / ".venv" / "built"
     assert marker.read_bytes() == (build_folder / "requirements.txt").read_bytes()
 
 
 @pytest.mark.parametrize("marker", [None, "", "an-older-list==1\n"])
-def test_a_build_without_its_marker_begins_anew(build_folder: Path, marker: str | None) -> None:
+def test_build_without_its_marker_starts_over(build_folder: Path, marker: str | None) -> None:
     path = build_folder / ".venv" / "built"
     path.unlink()
     if marker is not None:
         path.write_text(marker)
     code, called = run_build(build_folder)
-    assert code == ABSENT  # the stand-in for python3 makes no .venv/bin/pip
+    assert code == EXIT_COMMAND_NOT_FOUND  # the stand-in for python3 makes no .venv/bin/pip
     assert called == ["rm -rf .venv", "python3 -m venv .venv"]
--- a/tests/lab/test_up.py
+++ b/tests/lab/test_up.py
@@ -14,24 +14,28 @@
 from tests.gateway.event_loop import TEST_TIMEOUT_S
 
 
-def test_the_deployment_to_try_answers_its_curl_and_ends_whole() -> None:
+def test_example_deployment_answers_its_curl_command_and_ends_its_children() -> None:
     with subprocess.Popen(
         [sys.executable, "-m", "lab", "up"], stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True
     ) as child:
         assert child.stdout is not None
-        words = shlex.split(child.stdout.readline())
+        arguments = shlex.split(child.stdout.readline())
         children = psutil.Process(child.pid).children(recursive=True)
-        headers = dict(words[n + 1].split(": ", 1) for n, word in enumerate(words) if word == "-H")
-        url = urlsplit(words[-1])
-        plain = http.client.HTTPConnection(url.netloc, timeout=TEST_TIMEOUT_S)
-        plain.request("GET", f"{url.path}?{url.query}", headers=headers)
-        answer = plain.getresponse()
+        headers = dict(
+            arguments[index + 1].split(": ", 1)
+            for index, argument in enumerate(arguments)
+            if argument == "-H"
+        )
+        url = urlsplit(arguments[-1])
+        connection = http.client.HTTPConnection(url.netloc, timeout=TEST_TIMEOUT_S)
+        connection.request("GET", f"{url.path}?{url.query}", headers=headers)
+        answer = connection.getresponse()
         assert (answer.status, answer.read()) == (200, b"0000000000000001 /view-timetable\n")
-        plain.close()
+        connection.close()
         child.send_signal(signal.SIGINT)
         out, err = child.communicate(timeout=60)
     assert child.returncode == 0, err
-    assert words[0] == "curl"
+    assert arguments[0] == "curl"
     assert not out, err
     assert len(children) == 4
     assert not any(process.is_running() for process in children)
