--- a/lab/change_driver.py
+++ b/lab/change_driver.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 
 from lab.changes import ConfigDocument, TenantChange
-from lab.child import Hist
-from lab.clients import ask_bytes
+from lab.child import Histogram
+from lab.clients import encode_request
 from lab.readiness import fetch
 from lab.records import Problems
 from lab.rig import RealGateway
@@ -53,12 +53,12 @@
 
     def signal_reload(self, gateway: RealGateway) -> int:
         """Let the gateway read its file; returns when, in nanoseconds."""
-        gateway.child.check()
+        gateway.child.raise_if_ended()
         signalled_ns = time.perf_counter_ns()
         os.kill(gateway.child.process.pid, signal.SIGHUP)
         return signalled_ns
 
-    async def make_change(self, histograms: dict[str, Hist]) -> None:
+    async def make_change(self, histograms: dict[str, Histogram]) -> None:
         """Make one change at every gateway, until it is in force at all."""
         change = await self.write_next_change()
         await asyncio.gather(
@@ -66,7 +66,7 @@
         )
 
     async def _measure_change(
-        self, gateway: RealGateway, change: TenantChange, histograms: dict[str, Hist]
+        self, gateway: RealGateway, change: TenantChange, histograms: dict[str, Histogram]
     ) -> None:
         """Ask for the tenant every millisecond from the signal on, on a connection of its own."""
         status_before, status_after = (400, 200) if change.added else (200, 400)
@@ -82,7 +82,7 @@
                         break
                     await asyncio.sleep(POLL_S)
         except TimeoutError:
-            gateway.child.check()
+            gateway.child.raise_if_ended()
             self._problems.broken.append(f"a change was not in force within {IN_FORCE_TIMEOUT_S:g} s")
             return
         finally:
@@ -95,7 +95,7 @@
             ("from_signal_to_asked", max(0, sent_ns - signalled_ns)),  # the first that was answered so
             ("added_from_signal" if change.added else "dropped_from_signal", done_ns - signalled_ns),
         ):
-            histograms.setdefault(label, Hist()).add(duration_ns / 1e3)
+            histograms.setdefault(label, Histogram()).record(duration_ns / 1e3)
 
     async def send_probe(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, change: TenantChange
@@ -104,6 +104,6 @@
         self._probe_count += 1
         sent_ns = time.perf_counter_ns()
         status, _ = await fetch(
-            reader, writer, ask_bytes(0, change.tenant_number, FIRST_PROBE_ID + 2 * self._probe_count)
+            reader, writer, encode_request(0, change.tenant_number, FIRST_PROBE_ID + 2 * self._probe_count)
         )
         return status, sent_ns
--- a/lab/changes.py
+++ b/lab/changes.py
@@ -86,7 +86,7 @@
             del self.tenants[change.index]
             return
         tenant = {
-            "name": fleet.tenant(change.tenant_number),
+            "name": fleet.tenant_name(change.tenant_number),
             "allowancePerS": change.allowance_per_s,
             "fraction": self.fraction,
         }
--- a/lab/figures.py
+++ b/lab/figures.py
@@ -11,7 +11,7 @@
 from msgspec import UNSET, UnsetType
 
 from lab import fit
-from lab.child import Hist
+from lab.child import Histogram
 from lab.messages import TargetResult
 from lab.processes import Child
 from lab.records import Point, Problems, ScenarioRecord
@@ -71,7 +71,9 @@
             point for point in all_points if not point.get("over_bound") and not point.get("over_time")
         ]
         fits[kind] = {
-            metric: fit.line([point["size"] for point in completed], [point[metric] for point in completed])
+            metric: fit.fit_line(
+                [point["size"] for point in completed], [point[metric] for point in completed]
+            )
             for metric in METRICS
             if all_points and any(metric in point for point in completed)
         }
@@ -134,7 +136,7 @@
     return Role(
         count=count,
         processes=len(children),
-        resident_mb=sum(child.resident() for child in children) / count / 1e6,
+        resident_mb=sum(child.resident_bytes() for child in children) / count / 1e6,
         cpu_s_per_s=cpu_share(scenarios, (child.name for child in children)) / count,
         busiest_cpu_s_per_s=max(cpu_share(scenarios, [child.name]) for child in children),
         bytes_per_s=sum(traffic.bytes for traffic in traffics) / took_s / count,
@@ -152,22 +154,24 @@
         "statements": make_role(scenarios, [rig.statements], 1, *served.values()),
         "clients": make_role(scenarios, [rig.clients], 1, *sent.values()),
     }
-    if rig.reals:
+    if rig.real_gateways:
         traffics = (listed["real"], served["gateway"], sent["gateway"])
         roles["gateway"] = make_real_gateways_role(rig, scenarios, traffics)
-    if rig.simulated:
+    if rig.simulated_processes:
         roles["hollow"] = make_simulated_gateways_role(rig, scenarios, listed["hollow"])
     return roles
 
 
 def make_real_gateways_role(rig: Rig, scenarios: Scenarios, traffics: Iterable[Traffic]) -> Role:
     """The role of the real gateways."""
-    children = [gateway.child for gateway in rig.reals]
-    role = make_role(scenarios, children, len(rig.reals), *traffics)
-    role.ready_s = max(gateway.ready_s for gateway in rig.reals)
-    role.start_cpu_s = max(gateway.start_cpu_s for gateway in rig.reals)
-    role.in_force = merge_histograms(scenario.probes.hist for scenario in without_outage(scenarios)).summary()
-    role.not_in_force = sum(scenario.probes.standing for scenario in scenarios.values())
+    children = [gateway.child for gateway in rig.real_gateways]
+    role = make_role(scenarios, children, len(rig.real_gateways), *traffics)
+    role.ready_s = max(gateway.ready_s for gateway in rig.real_gateways)
+    role.start_cpu_s = max(gateway.start_cpu_s for gateway in rig.real_gateways)
+    role.in_force = merge_histograms(
+        scenario.probes.latency for scenario in without_outage(scenarios)
+    ).summary()
+    role.not_in_force = sum(scenario.probes.unclosed for scenario in scenarios.values())
     role.added = added_latency([scenario.targets for scenario in scenarios.values()])
     return role
 
@@ -175,14 +179,18 @@
 def make_simulated_gateways_role(rig: Rig, scenarios: Scenarios, traffic: Traffic) -> Role:
     """The role of the simulated gateways."""
     gateways = rig.plan.simulated
-    role = make_role(scenarios, rig.simulated, gateways, traffic)
-    role.resident_mb -= rig.simulated_base / gateways / 1e6
+    role = make_role(scenarios, rig.simulated_processes, gateways, traffic)
+    role.resident_mb -= rig.simulated_base_bytes / gateways / 1e6
     role.in_force = merge_histograms(
-        scenario.in_force.hist for scenario in without_outage(scenarios)
+        scenario.in_force.latency for scenario in without_outage(scenarios)
     ).summary()
-    all_pool_stats = [scenario.after.simulated for scenario in scenarios.values()][-1]
-    role.list_read = merge_histograms(Hist(pool_stats.list_read) for pool_stats in all_pool_stats).summary()
-    role.ready_s = merge_histograms(Hist(pool_stats.ready) for pool_stats in all_pool_stats).at(99) / 1e3
+    all_pool_stats = [scenario.after.pool_stats for scenario in scenarios.values()][-1]
+    role.list_read = merge_histograms(
+        Histogram(pool_stats.list_read) for pool_stats in all_pool_stats
+    ).summary()
+    role.ready_s = (
+        merge_histograms(Histogram(pool_stats.ready) for pool_stats in all_pool_stats).percentile_ms(99) / 1e3
+    )
     counts = {
         counter: sum(pool_stats.counts[counter] for pool_stats in all_pool_stats)
         for counter in all_pool_stats[0].counts
@@ -197,11 +205,11 @@
     return [scenario for name, scenario in scenarios.items() if name != "outage"] or list(scenarios.values())
 
 
-def merge_histograms(histograms: Iterable[Hist]) -> Hist:
+def merge_histograms(histograms: Iterable[Histogram]) -> Histogram:
     """All in one."""
-    total = Hist()
+    total = Histogram()
     for histogram in histograms:
-        total.join(histogram)
+        total.merge(histogram)
     return total
 
 
@@ -209,7 +217,8 @@
     """Latency through gateways and straight, and what gateways add, in milliseconds."""
     played = [targets for targets in results if targets]
     histograms = {
-        target: merge_histograms(Hist(targets[target].latency) for targets in played) for target in TARGETS
+        target: merge_histograms(Histogram(targets[target].latency) for targets in played)
+        for target in TARGETS
     }
     counts: dict[str, dict[str, int]] = {target: {} for target in TARGETS}
     for targets in played:
@@ -222,7 +231,9 @@
     if not all(histograms[target].count for target in TARGETS):
         return latencies
     for percent in (50, 99):
-        latencies[f"p{percent}_ms"] = histograms["gateway"].at(percent) - histograms["direct"].at(percent)
+        latencies[f"p{percent}_ms"] = histograms["gateway"].percentile_ms(percent) - histograms[
+            "direct"
+        ].percentile_ms(percent)
     return latencies
 
 
@@ -249,10 +260,10 @@
     return {
         "changes": scenario.changes,
         "machine_cpu_share": scenario.machine_cpu_share,
-        "hollow_in_force": scenario.in_force.hist.summary(),
+        "hollow_in_force": scenario.in_force.latency.summary(),
         "hollow_skipped": scenario.in_force.skipped,
-        "gateway_in_force": scenario.probes.hist.summary(),
-        "gateway_not_in_force": scenario.probes.standing,
+        "gateway_in_force": scenario.probes.latency.summary(),
+        "gateway_not_in_force": scenario.probes.unclosed,
         "probes": scenario.probes.count,
         "added": added_latency([scenario.targets]),
     }
@@ -281,6 +292,6 @@
         "schedule": schedule,
         "over_bound": rig.problems.over_bound,
         "broken": rig.problems.broken,
-        "memory_most_mb": rig.children.most_bytes / 1e6,
+        "memory_most_mb": rig.children.peak_bytes / 1e6,
         "figures" if schedule["kept"] else "void": figures,
     }
--- a/lab/stalls.py
+++ b/lab/stalls.py
@@ -5,7 +5,7 @@
 import time
 from typing import TypeVar
 
-from lab.child import Hist
+from lab.child import Histogram
 from lab.gateway_messages import StepCost
 from load_balancer.config.steps import Steps
 
@@ -24,14 +24,14 @@
     """
 
     def __init__(self) -> None:
-        self.hists: dict[str, Hist] = {}
+        self.hists: dict[str, Histogram] = {}
         self.max_cpu: dict[str, tuple[float, int]] = {}  # processor's milliseconds, and which step it was
         self.started = (0, 0)
 
     def record(self, name: str, started: tuple[int, int], step: int = 0) -> None:
         """Record a step that has begun at a time and ends now."""
         ended = read_clocks()
-        self.hists.setdefault(name, Hist()).add((ended[0] - started[0]) / 1e3)
+        self.hists.setdefault(name, Histogram()).record((ended[0] - started[0]) / 1e3)
         self.max_cpu[name] = max(self.max_cpu.get(name, (0.0, 0)), ((ended[1] - started[1]) / 1e6, step))
 
     def run_steps(self, name: str, steps: Steps[T]) -> T:
@@ -59,13 +59,13 @@
         """The cost of each kind of step, by its name."""
         return {name: self._cost(name, hist) for name, hist in self.hists.items()}
 
-    def _cost(self, name: str, hist: Hist) -> StepCost:
+    def _cost(self, name: str, hist: Histogram) -> StepCost:
         most_cpu_ms, step = self.max_cpu[name]
         return StepCost(
             count=hist.count,
-            p50_ms=hist.at(50),
-            p99_ms=hist.at(99),
-            most_ms=hist.at(100),
+            p50_ms=hist.percentile_ms(50),
+            p99_ms=hist.percentile_ms(99),
+            most_ms=hist.percentile_ms(100),
             most_cpu_ms=most_cpu_ms,
             step=step,
         )
--- a/tests/lab/test_changes.py
+++ b/tests/lab/test_changes.py
@@ -22,6 +22,6 @@
         written = json.loads(path.read_text())
         added_names = {tenant["name"] for tenant in written["settings"].pop("tenants")}
         added_names -= {tenant["name"] for tenant in settings["tenants"]}
-        assert added_names == ({fleet.tenant(change.tenant_number)} if change.added else set())
+        assert added_names == ({fleet.tenant_name(change.tenant_number)} if change.added else set())
         assert previous is None or previous.added != change.added
         assert written["settings"] == {key: value for key, value in settings.items() if key != "tenants"}
