--- a/lab/model/comparison.py
+++ b/lab/model/comparison.py
@@ -9,7 +9,7 @@
 from lab.model.errors import UsageError
 from lab.model.results import RESULTS_FILE, Result, read_results_file, results_of_policy
 from lab.model.summary import COMPARED_METRICS, metric_value
-from lab.tables import table
+from lab.tables import format_table
 
 RESAMPLES = 10_000
 CONFIDENCE_PERCENT = 95.0  # %
@@ -79,7 +79,7 @@
         rows += compare_results(
             results_of_policy(baseline_results, policy), results_of_policy(candidate_results, policy), policy
         )
-    return table(COMPARE_COLUMNS, rows)
+    return format_table(COMPARE_COLUMNS, rows)
 
 
 def _read_folder(folder: Path) -> tuple[Result, list[Result]]:
--- a/lab/model/summary.py
+++ b/lab/model/summary.py
@@ -5,7 +5,7 @@
 import numpy as np
 
 from lab.model.results import Result
-from lab.tables import table
+from lab.tables import format_table
 
 COLUMNS = (
     "policy", "seeds", "G", "whole", "worst 10 s", "worst class", "worst tenant", "late", "refused", "failed",
@@ -54,7 +54,7 @@
         broken += f", {crashed} crashed" if crashed else ""
         latencies = [format_metric(mean_metric(completed, name), 0) for name in ("p50_ms", "p99_ms")]
         rows.append((policy, str(len(completed)), *shares, *latencies, *map(format_metric, costs), broken))
-    return table(COLUMNS, rows)
+    return format_table(COLUMNS, rows)
 
 
 def format_violations(results: list[Result]) -> list[str]:
--- a/lab/scale.py
+++ b/lab/scale.py
@@ -13,7 +13,7 @@
 
 from lab import schedule
 from lab.child import Histogram
-from lab.figures import FULL_CORE, result
+from lab.figures import SATURATED_CPU_SHARE, build_result
 from lab.gateway_messages import (
     AddGateways,
     MeasureInForce,
@@ -224,7 +224,7 @@
     processes = ["registry", "statements", "clients", *(child.name for child in rig.simulated_processes)]
     for process in processes:
         core_share = (after.cpu_s[process] - before.cpu_s[process]) / (after.time_s - before.time_s)
-        if core_share > FULL_CORE:
+        if core_share > SATURATED_CPU_SHARE:
             rig.problems.schedule.append(f"{name}: {process} took {core_share:.2f} of a core")
 
 
@@ -275,4 +275,4 @@
         points["gateways"] = await sweep_simulated_gateways(rig)
         await start_real_gateways(rig)
         scenarios = await play_scenarios(rig)
-        return result(rig, points, scenarios, time.monotonic() - started_s)
+        return build_result(rig, points, scenarios, time.monotonic() - started_s)
--- a/tests/lab/conftest.py
+++ b/tests/lab/conftest.py
@@ -15,12 +15,12 @@
     """Runs are played in this process; policy and seed of each."""
     runs: list[tuple[str, int]] = []
 
-    def in_turn(
+    def play_sequentially(
         plan: experiment.ExperimentPlan, tasks: list[tuple[str, int]], _jobs: int
     ) -> Iterator[dict[str, Any]]:
         for task in tasks:
             runs.append(task)
             yield experiment.simulate(plan.scenario, *task)
 
-    monkeypatch.setattr(experiment, "simulate_all", in_turn)
+    monkeypatch.setattr(experiment, "simulate_all", play_sequentially)
     return runs
