--- a/lab/__init__.py
+++ b/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Runs on loopback: stand-ins, clients, real and simulated gateways. load_balancer never imports it."""
+"""Load tests of the load balancer on loopback, and a model of the fleet; load_balancer never imports it."""
--- a/lab/bounded.py
+++ b/lab/bounded.py
@@ -1,4 +1,4 @@
-"""Child processes with a bound on their memory."""
+"""Runs a child process with a bound on its memory."""
 
 from __future__ import annotations
 
@@ -15,10 +15,13 @@
 
 
 def run_bounded(arguments: list[str], memory_mb: int) -> dict[str, Any]:
-    """What a child prints as JSON; it is ended once it holds more than `memory_mb` megabytes."""
-    previous_handler = signal.signal(
-        signal.SIGTERM, signal.default_int_handler
-    )  # so that the child is ended too
+    """Run a Python module as a child process and return the JSON object that it prints.
+
+    The child is killed once its resident memory exceeds `memory_mb` megabytes. If it is killed or fails, the
+    result holds the reason under "failed".
+    """
+    # SIGTERM raises KeyboardInterrupt, so that the child is killed too.
+    previous_handler = signal.signal(signal.SIGTERM, signal.default_int_handler)
     with subprocess.Popen([sys.executable, "-m", *arguments], stdout=subprocess.PIPE, text=True) as child:
         try:
             process = psutil.Process(child.pid)
--- a/lab/child.py
+++ b/lab/child.py
@@ -1,4 +1,4 @@
-"""A child's side of a run: one command a line on standard input, one answer a line on standard output."""
+"""The child processes' side of a run: JSON commands on standard input, JSON answers on standard output."""
 
 from __future__ import annotations
 
@@ -17,39 +17,45 @@
 Handler = Callable[[CommandT], Awaitable[Any]]
 CreateHandler = Callable[[], Callable[[CommandT], Awaitable[Any]]]
 
-MAX_LINE_BYTES = 64 * 1024 * 1024  # bytes of a command or an answer
+MAX_LINE_BYTES = 64 * 1024 * 1024  # longest command or answer
 MAX_DURATION_US = 60_000_000
 
 
 class Histogram:
-    """Durations in microseconds, to three digits, up to a minute."""
+    """A histogram of durations from 1 us to a minute, with three significant digits.
+
+    Longer durations are recorded as a minute, shorter ones as 1 us.
+
+    Args:
+        encoded: What `encode` of another histogram has returned, to start with its contents; "" for none.
+    """
 
     def __init__(self, encoded: str = "") -> None:
         self.inner: Any = HdrHistogram.decode(encoded) if encoded else HdrHistogram(1, MAX_DURATION_US, 3)
 
     def record(self, value_us: float) -> None:
-        """Record a duration."""
+        """Record a duration in microseconds."""
         self.inner.record_value(min(MAX_DURATION_US, max(1, int(value_us))))
 
     def merge(self, other: Histogram) -> None:
-        """Add all that another one has recorded."""
+        """Add the durations that another histogram has recorded."""
         self.inner.add(other.inner)
 
     @property
     def count(self) -> int:
-        """Durations recorded."""
+        """Return the number of recorded durations."""
         return int(self.inner.get_total_count())
 
     def percentile_ms(self, percent: float) -> float:
-        """The percentile in milliseconds."""
+        """Return a percentile, given as 0 to 100, in milliseconds."""
         return float(self.inner.get_value_at_percentile(percent)) / 1e3
 
     def encode(self) -> str:
-        """All of it as text, from which it can be made again."""
+        """Return the histogram as text, from which an equal one can be created."""
         return base64.b64encode(base64.b64decode(self.inner.encode())).decode()
 
     def summary(self) -> dict[str, float] | None:
-        """p50, p99 and most in milliseconds; None where nothing was recorded."""
+        """Return the count, and p50, p99 and maximum in milliseconds; None where nothing was recorded."""
         if not self.count:
             return None
         return {
@@ -72,11 +78,13 @@
 
 
 def serve(create_handler: CreateHandler[CommandT], command_type: Any) -> None:
-    """Handle commands, one after the other, until the input ends: with the run ends its child.
+    """Handle commands one after the other until standard input ends.
+
+    The input ends with the process that holds its other end, so that a child does not outlive its run.
 
     Args:
-        create_handler: Called once in the event loop.
-        command_type: The union of the commands that it handles.
+        create_handler: Returns the handler of the commands; called once, in the event loop.
+        command_type: The union of the commands' types.
     """
     gc.freeze()
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
--- a/lab/client_connections.py
+++ b/lab/client_connections.py
@@ -1,4 +1,4 @@
-"""Connections of clients to some addresses, and the requests sent over them."""
+"""Connections of clients to gateways or endpoints, and the requests that are sent over them."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from lab.child import Histogram
 from lab.messages import Address, TargetResult
 
-REQUEST_TIMEOUT_S = 2.0  # of every request
-CONNECT_TIMEOUT_S = 1.0
+REQUEST_TIMEOUT_S = 2.0  # for each request, with its connect
+CONNECT_TIMEOUT_S = 1.0  # for each connect
 
 
 class Target:
-    """Connections to some addresses, and what came of the requests sent there."""
+    """A group of addresses with its connections, and the results of the requests to it."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, addresses: list[Address]) -> None:
         self.loop = loop
@@ -29,12 +29,19 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     def send(self, index: int, payload: bytes, expected: bytes, counted: bool) -> None:
-        """Send a request to the address of an index."""
+        """Send a request.
+
+        Args:
+            index: The index of the address in `addresses`.
+            payload: The encoded request.
+            expected: The body that an answer with status 200 must have.
+            counted: Whether the request belongs to the results.
+        """
         self.in_flight += 1
         ClientRequest(self, index, payload, expected, counted).send()
 
     def record_outcome(self, outcome: str, began_ns: int, counted: bool) -> None:
-        """Count how a request ended, and its latency where it was served."""
+        """Count a request's outcome, and record its latency if the status is 200."""
         self.in_flight -= 1
         if counted:
             self.counts[outcome] = self.counts.get(outcome, 0) + 1
@@ -48,12 +55,12 @@
                 connection.abort()
 
     def result(self) -> TargetResult:
-        """What came of all requests."""
+        """Return the results of all requests."""
         return TargetResult(self.counts, self.latency.encode(), self.byte_count)
 
 
 class ClientRequest:
-    """One request, until its answer has come whole, its time is over or its connection has gone."""
+    """One request, from its start until its answer is complete, it times out or its connection is lost."""
 
     def __init__(self, target: Target, index: int, payload: bytes, expected: bytes, counted: bool) -> None:
         self.target = target
@@ -68,7 +75,7 @@
         self.timer = target.loop.call_later(REQUEST_TIMEOUT_S, self.time_out)
 
     def send(self) -> None:
-        """Send it over an idle connection, or a new one."""
+        """Send the request over an idle connection, or over a new one."""
         idle = self.target.idle[self.index]
         if idle:
             idle.pop().write(self)
@@ -78,7 +85,7 @@
             task.add_done_callback(self.target.tasks.discard)
 
     async def connect(self) -> None:
-        """Open a connection and send it there."""
+        """Open a connection and send the request over it."""
         target = self.target
         connection = ClientConnection(target, self.index)
         try:
@@ -93,13 +100,17 @@
             connection.write(self)
 
     def time_out(self) -> None:
-        """End it once its time is over."""
+        """End the request with a timeout, and close its connection."""
         if self.connection is not None:
             self.connection.abort()
         self.finish("out of time")
 
     def handle_lost_connection(self, reused: bool) -> None:
-        """A close that crossed the request: it is sent once more on a new connection."""
+        """Send the request once more on a new connection, or end it as lost.
+
+        It is sent again only once, and only if the connection was reused: the server may then have closed the
+        idle connection while the request was on its way.
+        """
         if self.done:
             return
         self.connection = None
@@ -111,7 +122,7 @@
             self.finish("lost")
 
     def finish(self, outcome: str) -> None:
-        """End it once, with what came of it."""
+        """End the request with an outcome, unless it has already ended."""
         if not self.done:
             self.done = True
             self.timer.cancel()
@@ -119,7 +130,7 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """A connection that serves one request at a time."""
+    """A client's connection, which carries one request at a time."""
 
     def __init__(self, target: Target, index: int) -> None:
         self.target = target
@@ -137,7 +148,7 @@
         self.transport = cast(asyncio.Transport, transport)
 
     def write(self, request: ClientRequest) -> None:
-        """Send a request."""
+        """Send a request over this connection."""
         assert self.transport is not None
         self.request = request
         request.connection = self
@@ -188,6 +199,6 @@
             request.handle_lost_connection(reused=self.served > 0)
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection at once."""
         if self.transport is not None:
             self.transport.abort()
--- a/lab/clients.py
+++ b/lab/clients.py
@@ -1,4 +1,7 @@
-"""Clients that ask at seeded times whatever the answers do: through gateways, and the same straight."""
+"""Open-loop clients: they send requests at scheduled times, however long the answers take.
+
+Each request is sent through a gateway, and in some runs again directly to an endpoint, to compare latencies.
+"""
 
 from __future__ import annotations
 
@@ -18,14 +21,14 @@
     PlayRequests,
 )
 
-MAX_DIRECT_ENDPOINTS = 16  # asked straight
+MAX_DIRECT_ENDPOINTS = 16  # endpoints that receive direct requests
 BODY = b"x" * 120
-START_DELAY_S = 0.1  # from the command to the first request
-DRAIN_POLL_S = 0.01
+START_DELAY_S = 0.1  # from the command to the start of the schedule
+DRAIN_POLL_S = 0.01  # between two checks whether all requests have ended
 
 
 def encode_request(route: int, tenant: int, request_id: int) -> bytes:
-    """A request in the form that PROTOCOL gives for its class."""
+    """Encode a request as the protocol requires for the effect of its route."""
     name, effect = fleet.route_name(route), fleet.route_effect(route)
     head = (
         f"{'GET' if effect == 'free' else 'POST'} /{name}?user={request_id % 9973:04x} HTTP/1.1\r\n"
@@ -40,17 +43,25 @@
 
 
 class PlannedRequest(NamedTuple):
-    """A request that is to be sent."""
+    """A request that is to be sent.
+
+    Attributes:
+        at_s: Seconds after the start of the schedule.
+        target: "gateway" or "direct".
+        address_index: The index of the address among the target's.
+        payload: The encoded request.
+        expected: The body that an answer with status 200 must have.
+    """
 
     at_s: float
     target: str
-    address_index: int  # in the target's addresses
+    address_index: int
     payload: bytes
     expected: bytes
 
 
 class Clients:
-    """Sends requests at their times, through gateways and straight."""
+    """Sends requests at their scheduled times, through gateways and directly to endpoints."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -59,7 +70,7 @@
         self.playing: asyncio.Task[None] | None = None
 
     def plan(self, command: PlayRequests) -> Iterator[PlannedRequest]:
-        """Every request goes to a gateway, and half a mean gap later the same goes to a stand-in."""
+        """Yield each request to a gateway and, half a mean gap later, its direct counterpart, if any."""
         request_schedule = schedule.requests(
             command.seed,
             "clients",
@@ -91,10 +102,13 @@
         yield from pending
 
     async def play(self, command: PlayRequests) -> None:
-        """Send all requests; latencies count only after `warm` seconds, when connections are up.
+        """Send all requests and wait until they have ended.
+
+        Results count only after `warm` seconds, when connections are open.
 
-        A thread keeps the time: the loop's timers go by whole milliseconds, and so do the stand-in's, so that
-        requests sent on a tick would hide up to a millisecond of what a gateway adds.
+        A thread waits for the times of the requests, because the event loop's timers have a resolution of a
+        millisecond. So have the timers of the stand-in for the endpoints: if requests were sent on a tick, up
+        to a millisecond of the latency that a gateway adds would not be seen.
         """
         plan = list(self.plan(command))
         start_s = time.monotonic() + START_DELAY_S
@@ -117,13 +131,13 @@
             target.close()
 
     def send(self, due_s: float, counted: bool, planned: PlannedRequest) -> None:
-        """Send a request that was due at a time of the monotonic clock."""
+        """Send a request, and record how late it is after the time of the monotonic clock when it was due."""
         self.late.record((time.monotonic() - due_s) * 1e6)
         target = self.targets[planned.target]
         target.send(planned.address_index, planned.payload, planned.expected, counted)
 
     async def handle(self, command: ClientCommand) -> Any:
-        """Carry out a command; returns its answer."""
+        """Execute a command and return its answer."""
         match command:
             case PlayRequests():
                 self.late = Histogram()
@@ -143,7 +157,7 @@
 
 
 def encode_exchange(route: int, tenant: int, request_id: int) -> tuple[bytes, bytes]:
-    """A request's bytes, and the body of its answer."""
+    """Return an encoded request and the body that its answer must have."""
     return encode_request(route, tenant, request_id), b"%016x /%b\n" % (
         request_id,
         fleet.route_name(route).encode(),
@@ -151,7 +165,7 @@
 
 
 def create_handler() -> Handler[ClientCommand]:
-    """The handler of commands, on the running event loop."""
+    """Return the handler of commands, for the running event loop."""
     return Clients(asyncio.get_running_loop()).handle
 
 
--- a/lab/fit.py
+++ b/lab/fit.py
@@ -1,4 +1,4 @@
-"""Straight lines through figures at several sizes."""
+"""Fits straight lines to figures that were measured at several sizes."""
 
 from __future__ import annotations
 
@@ -7,14 +7,19 @@
 
 import numpy as np
 
-MIN_SIZES = 3  # for a line with a residual
+# Through two points a line always passes exactly, so that its residual would mean nothing.
+MIN_SIZES = 3
 
 
 def fit_line(sizes: Sequence[float], figures: Sequence[float]) -> dict[str, Any] | None:
-    """Least squares: slope in the figures' unit for one more, at zero, and how far the figures lie off.
+    """Fit a line to `figures` over `sizes` by least squares.
 
-    `residual` is the root of the mean square in the figures' unit, `residual_share` its part of the rise that
-    the line has over the sizes; above 1 there is no slope to speak of. None for too few sizes.
+    Returns:
+        None for fewer than MIN_SIZES distinct sizes, else an object with these keys besides `sizes` and
+        `figures`: `slope` is the rise for each unit of size, and `at_zero` the line's value at size 0.
+        `residual` is the root mean square of the distances between the figures and the line. All three are in
+        the figures' unit. `residual_share` is the residual divided by the line's rise over the range of
+        sizes, or None where the line is flat; above 1 the slope is not significant.
     """
     if len(set(sizes)) < MIN_SIZES:
         return None
--- a/lab/fleet.py
+++ b/lab/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of a size: its servers in discovery's form, and the settings and configuration of its gateways."""
+"""The simulated fleet: addresses, zones and racks of its servers, and the settings of its gateways."""
 
 from __future__ import annotations
 
@@ -7,38 +7,39 @@
 
 REGIONS = {"north": ("north-a", "north-b", "north-c", "north-d"), "south": ("south-a", "south-b", "south-c")}
 ZONES = tuple(zone for zones in REGIONS.values() for zone in zones)
-SERVERS_PER_RACK = 40  # servers that fail together
-SERVERS_PER_CELL = 3  # servers that share what they know of keys
-SUBNET_SIZE = 250
+SERVERS_PER_RACK = 40  # the servers of a rack fail together
+SERVERS_PER_CELL = 3  # a cell drops repeats of a request with an idempotency key
+SUBNET_SIZE = 250  # servers in each /24 network
 EFFECTS = ("free", "guarded", "single_shot", "free")
-KEEPALIVE_US = 60_000_000  # long: an idle connection that closes in a run was closed for a reason
+# Long, so that a connection that closes during a run usually has another reason than its idle time.
+KEEPALIVE_US = 60_000_000
 
 EndpointEntry = dict[str, Any]
 
 
 def server_host(number: int) -> str:
-    """The address of its own on loopback that a server has, 127.20.0.1 and on."""
+    """Return the loopback address of a server; each has its own, from 127.20.0.1 on."""
     return f"127.{20 + number // SUBNET_SIZE // 250}.{number // SUBNET_SIZE % 250}.{number % SUBNET_SIZE + 1}"
 
 
 def server_number(address: str) -> int:
-    """The server at such an address."""
+    """Return the number of the server at an address that `server_host` has returned."""
     _, high, subnet, offset = map(int, address.split("."))
     return ((high - 20) * 250 + subnet) * SUBNET_SIZE + offset - 1
 
 
 def zone_of(number: int) -> str:
-    """The zone of a server."""
+    """Return the name of a server's zone."""
     return ZONES[number % len(ZONES)]
 
 
 def rack_of(number: int) -> int:
-    """A rack stands in one zone."""
+    """Return the number of a server's rack; all servers of a rack are in one zone."""
     return number % len(ZONES) + len(ZONES) * (number // len(ZONES) // SERVERS_PER_RACK)
 
 
 def entries(servers: int, port: int) -> list[EndpointEntry]:
-    """The list of `servers` servers, all long up, as discovery's endpoints."""
+    """Return `servers` endpoints as discovery lists them, all active and started long ago."""
     return [
         {
             "name": f"s-{zlib.crc32(b'server %d' % n):08x}-{n}",
@@ -55,22 +56,29 @@
 
 
 def route_name(number: int) -> str:
-    """The name of a route."""
+    """Return the name of a route, which is also the name of its request class."""
     return f"route-{number}"
 
 
 def tenant_name(number: int) -> str:
-    """The name of a tenant."""
+    """Return the name of a tenant."""
     return f"tenant-{number}"
 
 
 def route_effect(number: int) -> str:
-    """The effect of a route's requests, in the settings' words."""
+    """Return the `effect` that the settings have for a route's requests."""
     return EFFECTS[number % len(EFFECTS)]
 
 
 def settings(routes: int, tenants: int, gateways: int = 1, index: int = 0) -> dict[str, Any]:
-    """A gateway's settings object, with the names and units of the simulator's first message."""
+    """Return a gateway's settings, with the names and units of the simulator's first message.
+
+    Args:
+        routes: The number of routes, each with a request class of its own.
+        tenants: The number of tenants; they have equal shares.
+        gateways: The number of gateways in the fleet.
+        index: This gateway's index among them.
+    """
     lanes = [
         {
             "name": route_name(n),
--- a/lab/messages.py
+++ b/lab/messages.py
@@ -1,4 +1,4 @@
-"""Messages between a run and its child processes: a command a line, and its answer."""
+"""Messages between a run and its child processes: commands, one on a line, and their answers."""
 
 from __future__ import annotations
 
@@ -8,37 +8,48 @@
 
 AnswerT = TypeVar("AnswerT")
 Address = tuple[str, int]
-TimedChange = tuple[float, str, list[int]]  # seconds after the start, what, endpoint numbers
+# Seconds after the start; the endpoints' new status, or "down" or "up" for discovery; the endpoints' numbers.
+TimedChange = tuple[float, str, list[int]]
 
 
 class Command(msgspec.Struct, Generic[AnswerT], frozen=True, tag_field="do"):
-    """A command; `answer_type` is what its answer is decoded to."""
+    """A command; its answer is decoded as `answer_type`."""
 
     answer_type: ClassVar[Any] = None
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """An answer with several parts."""
+    """An answer with several fields."""
 
 
-# Discovery
+# Commands to the stand-in for discovery
 
 
 class StartDiscovery(Command[dict[str, str]], frozen=True, tag="listen"):
-    """Answers the addresses, by kind of gateway."""
+    """Start listening; the answer is the address for each kind of gateway."""
 
     answer_type: ClassVar[Any] = dict[str, str]
 
 
 class ListState(Answer, frozen=True):
-    """The index of the list, and its length in bytes."""
+    """The state of the endpoint list.
+
+    Attributes:
+        index: The list's index.
+        bytes: The length of the encoded list.
+    """
 
     index: int
     bytes: int
 
 
 class SetFleet(Command[ListState], frozen=True, tag="fleet"):
-    """List another fleet."""
+    """Replace the listed fleet.
+
+    Attributes:
+        endpoints: The number of endpoints.
+        port: The port of every endpoint.
+    """
 
     answer_type: ClassVar[Any] = ListState
     endpoints: int
@@ -46,22 +57,27 @@
 
 
 class PlayChanges(Command[None], frozen=True, tag="play"):
-    """Play changes at their times; answers at once."""
+    """Play changes at their times; the answer comes at once.
+
+    Attributes:
+        changes: The changes in the order of their times.
+        start_ns: The time of the monotonic clock from which the changes' times count.
+    """
 
     changes: list[TimedChange]
     start_ns: int
 
 
 class AwaitChanges(Command[None], frozen=True, tag="played"):
-    """Answers once all changes have been played."""
+    """Wait until all changes have been played."""
 
 
 class RestoreEndpoints(Command[None], frozen=True, tag="restore"):
-    """Every endpoint is active again."""
+    """Set every endpoint to active again."""
 
 
 class ChangeStatus(Command[int], frozen=True, tag="change"):
-    """Change one endpoint's status; answers when the first watch was sent it, monotonic nanoseconds."""
+    """Change one endpoint's status; the answer is the monotonic time in ns just before it is sent."""
 
     answer_type: ClassVar[Any] = int
     endpoint: int
@@ -69,7 +85,14 @@
 
 
 class WrittenChange(Answer, frozen=True):
-    """A change as gateways know it, and when it was written to the watches."""
+    """A change of an endpoint, in the form that gateways receive.
+
+    Attributes:
+        endpoint_id: The endpoint's id at the gateways.
+        status: The endpoint's new status at the gateways.
+        started_us: When the endpoint started, in microseconds since the epoch.
+        written_ns: The time of the monotonic clock just before the change was written to the watches.
+    """
 
     endpoint_id: int
     status: str
@@ -78,13 +101,21 @@
 
 
 class FetchWrittenChanges(Command[list[WrittenChange]], frozen=True, tag="written"):
-    """Answers the changes written since the last call."""
+    """Return the changes that were written to the watches since the previous command of this kind."""
 
     answer_type: ClassVar[Any] = list[WrittenChange]
 
 
 class RegistryCounters(Answer, frozen=True):
-    """What discovery has had to do with one kind of gateways."""
+    """Discovery's counters for one kind of gateway.
+
+    Attributes:
+        calls: Requests for the list or a watch.
+        turned_away: Requests that were answered 503 because the queue was too long.
+        bytes: Bytes sent.
+        messages: Lists and changes sent.
+        watches: Watches that are open now.
+    """
 
     calls: int
     turned_away: int
@@ -94,7 +125,13 @@
 
 
 class RegistryStats(Answer, frozen=True):
-    """Discovery's counters, by kind of gateways; `late` is a histogram's text."""
+    """Discovery's counters.
+
+    Attributes:
+        index: The list's index.
+        late: How late changes were played, as an encoded histogram.
+        counters: The counters by kind of gateway.
+    """
 
     index: int
     late: str
@@ -102,7 +139,7 @@
 
 
 class ReadRegistryStats(Command[RegistryStats], frozen=True, tag="stats"):
-    """Answers the counters."""
+    """Return the counters."""
 
     answer_type: ClassVar[Any] = RegistryStats
 
@@ -118,38 +155,47 @@
     | ReadRegistryStats
 )
 
-# Statement servers
+# Commands to the stand-in for endpoints
 
 
 class StartEndpoints(Command[dict[str, int]], frozen=True, tag="listen"):
-    """Answers the ports, by target."""
+    """Start listening; the answer is the port for each target.
+
+    Attributes:
+        seed: The seed of the service times.
+    """
 
     answer_type: ClassVar[Any] = dict[str, int]
     seed: int
 
 
 class ListIdle(Command[list[tuple[int, int]]], frozen=True, tag="idle"):
-    """Answers the endpoints with idle connections of gateways, and how many."""
+    """Return the numbers of endpoints that have idle connections from gateways, each with their count."""
 
     answer_type: ClassVar[Any] = list[tuple[int, int]]
 
 
 class WatchIdle(Command[int], frozen=True, tag="watch"):
-    """Watch the idle connections of an endpoint; answers how many."""
+    """Watch the idle connections to an endpoint; the answer is their count."""
 
     answer_type: ClassVar[Any] = int
     endpoint: int
 
 
 class Closes(Answer, frozen=True):
-    """Microseconds until watched connections were closed, and how many still stand."""
+    """When watched connections were closed.
+
+    Attributes:
+        after_us: For each connection that was closed, the microseconds from the given time to the close.
+        standing: The number of connections that are still open.
+    """
 
     after_us: list[float]
     standing: int
 
 
 class ReadCloses(Command[Closes], frozen=True, tag="closes"):
-    """Answers what became of the watched connections since a time."""
+    """Return which watched connections of an endpoint were closed since a time of the monotonic clock."""
 
     answer_type: ClassVar[Any] = Closes
     endpoint: int
@@ -157,7 +203,14 @@
 
 
 class EndpointCounters(Answer, frozen=True):
-    """What came from one target's connections."""
+    """The counters of one target's connections.
+
+    Attributes:
+        requests: Requests with a valid id.
+        connections: Connections accepted.
+        bytes: Bytes received and sent.
+        bad: Requests with an invalid id, and requests sent before the previous answer.
+    """
 
     requests: int
     connections: int
@@ -166,39 +219,62 @@
 
 
 class EndpointStats(Answer, frozen=True):
-    """The statement servers' counters; `late` is a histogram's text."""
+    """The endpoints' counters.
+
+    Attributes:
+        late: How late answers were sent, as an encoded histogram.
+        counters: The counters by target.
+    """
 
     late: str
     counters: dict[str, EndpointCounters]
 
 
 class ReadEndpointStats(Command[EndpointStats], frozen=True, tag="stats"):
-    """Answers the counters."""
+    """Return the counters."""
 
     answer_type: ClassVar[Any] = EndpointStats
 
 
 EndpointCommand = StartEndpoints | ListIdle | WatchIdle | ReadCloses | ReadEndpointStats
 
-# Clients
+# Commands to the clients
 
 
 class PlayRequests(Command[None], frozen=True, tag="play"):
-    """Send seeded requests; answers at once."""
+    """Send seeded requests; the answer comes at once.
+
+    Attributes:
+        seed: The seed of the requests.
+        rate: Requests a second through all gateways together; as many are sent directly to endpoints.
+        seconds: How long requests are sent.
+        routes: The number of routes.
+        tenants: The number of tenants.
+        first: The id of the first request.
+        warm: Seconds from the start in which requests are not counted.
+        gateways: The addresses of the gateways.
+        direct: The addresses of the endpoints to which requests are sent directly; none if empty.
+    """
 
     seed: int
-    rate: float  # a second, through all gateways
+    rate: float
     seconds: float
     routes: int
     tenants: int
-    first: int  # request id
-    warm: float  # seconds that are not counted
+    first: int
+    warm: float
     gateways: list[Address]
     direct: list[Address]
 
 
 class TargetResult(Answer, frozen=True):
-    """What came of the requests to a target; `latency` is a histogram's text."""
+    """The results of the requests to one target.
+
+    Attributes:
+        counts: The number of requests by outcome.
+        latency: The latency of the requests with status 200, as an encoded histogram.
+        bytes: Bytes sent and received.
+    """
 
     counts: dict[str, int]
     latency: str
@@ -206,14 +282,19 @@
 
 
 class ClientResult(Answer, frozen=True):
-    """What came of all requests."""
+    """The results of all requests.
+
+    Attributes:
+        late: How late requests were sent, as an encoded histogram.
+        targets: The results by target.
+    """
 
     late: str
     targets: dict[str, TargetResult]
 
 
 class AwaitRequests(Command[ClientResult], frozen=True, tag="played"):
-    """Answers once all requests have ended."""
+    """Wait until all requests have ended, and return their results."""
 
     answer_type: ClassVar[Any] = ClientResult
 
--- a/lab/probes.py
+++ b/lab/probes.py
@@ -1,4 +1,4 @@
-"""Probes of real gateways: how soon idle connections to an endpoint that leaves are closed."""
+"""Measures how soon real gateways close their idle connections to an endpoint that starts to leave."""
 
 from __future__ import annotations
 
@@ -11,16 +11,17 @@
 from lab.records import Probes
 from lab.rig import Rig
 
-PROBE_GAP_S = 0.2
-PROBE_POLL_S = 0.05
-PROBE_TIMEOUT_S = 3.0  # for a change to be in force
+PROBE_GAP_S = 0.2  # between the end of a probe and the start of the next
+PROBE_POLL_S = 0.05  # between two looks at the watched connections
+PROBE_TIMEOUT_S = 3.0  # after which connections that are still open are counted as not closed
 
 
 async def probe_closes(rig: Rig, changes: list[schedule.Change], start_ns: int) -> Probes:
-    """Endpoints that gateways hold idle connections to begin to leave: how soon are those closed?
+    """Probe random endpoints one after the other until the scenario's time is over.
 
-    Seen from outside, at the stand-in. No endpoint of the churn is chosen. A change while discovery is down
-    counts from the change, not from the return.
+    The closes are seen from outside, at the stand-in for the endpoints. Only endpoints to which gateways hold
+    idle connections are chosen, and none that `changes` change. Where discovery is down at the time of a
+    probe's change, the latency still counts from the change, not from discovery's return.
     """
     rng, probes = random.Random(rig.plan.seed), Probes()
     changing = {number for _, _, numbers in changes for number in numbers}
@@ -34,7 +35,7 @@
 
 
 async def probe_endpoint(rig: Rig, endpoint: int, probes: Probes) -> None:
-    """Let an endpoint leave and come back, and add how soon its idle connections were closed."""
+    """Set an endpoint to leaving and back to active, and add how soon its idle connections were closed."""
     await rig.statements.execute(WatchIdle(endpoint=endpoint))
     since_ns = await rig.registry.execute(ChangeStatus(endpoint=endpoint, status="leaving"))
     deadline_s = time.monotonic() + PROBE_TIMEOUT_S
--- a/lab/processes.py
+++ b/lab/processes.py
@@ -1,4 +1,4 @@
-"""A run's side of its children: started, asked, measured, held under a bound of memory, ended by their id."""
+"""Starts, commands, measures and ends the child processes of a run, and enforces its memory bound."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 from load_balancer.errors import LoadBalancerError
 
 ROOT = Path(__file__).parent.parent
-POLL_S = 0.1
+POLL_S = 0.1  # between two checks of the memory bound
 TERMINATION_TIMEOUT_S = 2.0  # from SIGTERM to SIGKILL
-ANSWER_TIMEOUT_S = 120.0
+ANSWER_TIMEOUT_S = 120.0  # from a command to its answer
 
 
 class ChildError(LoadBalancerError, RuntimeError):
-    """A child has ended, or does not answer."""
+    """A child process has ended or does not answer."""
 
 
 class MemoryBoundError(ChildError):
-    """A child was ended because the run held more memory than it may."""
+    """A child process was killed because the run exceeded its memory bound."""
 
 
 class Child:
-    """One child process: asked, measured and ended."""
+    """One child process."""
 
     def __init__(self, name: str, process: asyncio.subprocess.Process) -> None:
         self.name = name
@@ -44,7 +44,7 @@
         self.peak_bytes = 0
 
     def resident_bytes(self) -> int:
-        """Bytes; 0 once it has ended."""
+        """Return the resident memory in bytes; 0 once the process has ended."""
         with contextlib.suppress(psutil.Error):
             rss = int(self.psutil_process.memory_info().rss)
             self.peak_bytes = max(self.peak_bytes, rss)
@@ -52,7 +52,13 @@
         return 0
 
     def cpu_s(self) -> float:
-        """Processor time so far, of all threads: to the nanosecond where the kernel tells, else to 10 ms."""
+        """Return the processor time of all threads so far.
+
+        The resolution is a nanosecond where the kernel has a clock for the process, otherwise 10 ms.
+
+        Raises:
+            ChildError: The process has ended.
+        """
         self.raise_if_ended()
         with contextlib.suppress(OSError, OverflowError):
             return time.clock_gettime(~self.psutil_process.pid << 3 | 2)  # clock_getcpuclockid(3) on Linux
@@ -64,22 +70,25 @@
         return float(times.user + times.system)
 
     def raise_if_ended(self, has_ended: bool = False) -> None:
-        """Check that it runs.
+        """Check that the process runs.
+
+        Args:
+            has_ended: Whether the caller has found that the process has ended.
 
         Raises:
-            MemoryBoundError: It was ended over the bound of memory.
-            ChildError: It has ended by itself, or `gone` says so.
+            MemoryBoundError: The process was killed because of the memory bound.
+            ChildError: The process has ended for another reason.
         """
         if self.over_memory_bound:
-            raise MemoryBoundError(f"{self.name} was ended over the bound of memory")
+            raise MemoryBoundError(f"{self.name} was killed because the run exceeded its memory bound")
         if has_ended or self.process.returncode is not None:
-            raise ChildError(f"{self.name} has ended by itself: {self.process.returncode}")
+            raise ChildError(f"{self.name} ended unexpectedly with exit code {self.process.returncode}")
 
     async def execute(self, command: Command[AnswerT]) -> AnswerT:
-        """Send a command; returns the child's answer.
+        """Send a command and return the process's answer.
 
         Raises:
-            ChildError: It has ended, or does not answer.
+            ChildError: The process has ended or does not answer in time.
         """
         stdin, stdout = self.process.stdin, self.process.stdout
         assert stdin is not None
@@ -91,10 +100,10 @@
                     stdin.write(msgspec.json.encode(command) + b"\n")
                     await stdin.drain()
                     line = await stdout.readline()
-            except (TimeoutError, ConnectionError, RuntimeError) as error:  # the last from a closed pipe
+            except (TimeoutError, ConnectionError, RuntimeError) as error:  # RuntimeError: closed pipe
                 self.raise_if_ended()
                 name = command.__struct_config__.tag
-                raise ChildError(f"{self.name} does not answer to {name}: {error!r}") from None
+                raise ChildError(f"{self.name} did not answer the command {name}: {error!r}") from None
             if not line:
                 await self.process.wait()
                 self.raise_if_ended(has_ended=True)
@@ -102,7 +111,10 @@
             return answer
 
     async def end(self, graceful: bool = True) -> None:
-        """End it by its id, and wait for that."""
+        """End the process and wait until it has ended.
+
+        If `graceful` is set, SIGTERM comes first, and SIGKILL only after TERMINATION_TIMEOUT_S.
+        """
         if self.process.returncode is None and graceful:
             with contextlib.suppress(ProcessLookupError):
                 self.process.terminate()
@@ -116,7 +128,12 @@
 
 
 class Children:
-    """All children of a run; none outlives it."""
+    """All child processes of a run, as a context manager: on exit all of them are killed.
+
+    Args:
+        memory_mb: Bound on the resident memory of all together, in megabytes.
+        logs: Directory for a file with each process's standard error.
+    """
 
     def __init__(self, memory_mb: int, logs: Path) -> None:
         self.memory_bound_bytes = memory_mb * 1_000_000
@@ -135,7 +152,7 @@
     ) -> None:
         if self.memory_guard is not None:
             self.memory_guard.cancel()
-        for child in self.running:  # at once, so that nothing comes between
+        for child in self.running:  # all of them before the first await
             with contextlib.suppress(ProcessLookupError):
                 child.process.kill()
         await asyncio.gather(*(child.end(graceful=False) for child in self.running))
@@ -143,9 +160,14 @@
             file.close()
 
     async def start(self, name: str, *arguments: str, **environ: str) -> Child:
-        """A child of this Python: `-m` and the arguments. Its standard error goes to a file of its name.
+        """Start a Python module as a child process, in a session of its own.
+
+        An interrupt at the terminal thus reaches the run alone, which ends its children itself.
 
-        It is in a session of its own: an interrupt at the terminal reaches the run alone.
+        Args:
+            name: The process's name, also of the log file with its standard error.
+            arguments: The module, and its arguments.
+            environ: Environment variables to set; no other ROUTER_ variables are passed on.
         """
         environment = {key: value for key, value in os.environ.items() if not key.startswith("ROUTER_")}
         log = (self.logs / f"{name}.log").open("wb")
@@ -167,20 +189,20 @@
         try:
             process = await asyncio.shield(starting)
         except asyncio.CancelledError:
-            await Child(name, await starting).end(graceful=False)  # none is lost between its start and here
+            await Child(name, await starting).end(graceful=False)  # started, but not yet in `running`
             raise
         child = Child(name, process)
         self.running.append(child)
         return child
 
     async def end(self, child: Child, graceful: bool = True) -> None:
-        """End one child."""
+        """End one child and forget it."""
         await child.end(graceful)
         if child in self.running:
             self.running.remove(child)
 
     async def enforce_memory_bound(self) -> None:
-        """End the largest child while all together hold more than the bound."""
+        """Kill the child with the most memory whenever all together exceed the bound."""
         while True:
             resident = {
                 child: child.resident_bytes() for child in self.running if not child.over_memory_bound
--- a/lab/registry.py
+++ b/lab/registry.py
@@ -1,6 +1,6 @@
-"""A stand-in for discovery: the list and the watch, calls handled in turn, changes played at seeded times.
+"""A stand-in for discovery that serves the endpoint list and watches, and plays changes at scheduled times.
 
-It listens twice, for real and for simulated gateways, so that what goes to each is counted apart.
+It listens on two addresses, for real and for simulated gateways, so that their traffic is counted separately.
 """
 
 from __future__ import annotations
@@ -37,36 +37,38 @@
 LIST_PATH = b"/registry/instances"
 LISTEN_HOSTS = {"real": "127.0.0.2", "hollow": "127.0.0.3"}
 FIRST_INDEX = 41
-EMPTY_LINE_INTERVAL_S = 2.0
-CALLS_PER_S = 2_000.0  # what it handles in turn
-LIST_ENTRIES_PER_S = 2_000_000.0  # of lists
-MAX_WAIT_S = 1.0  # a call that would wait for longer ends with 503
+EMPTY_LINE_INTERVAL_S = 2.0  # between two empty lines that keep a watch alive
+CALLS_PER_S = 2_000.0  # capacity; calls are handled one after the other
+LIST_ENTRIES_PER_S = 2_000_000.0  # capacity for the entries of lists
+MAX_WAIT_S = 1.0  # a call that would wait longer is answered 503
 
 
 class Registry:
-    """The list, its changes, and the connections that ask for it."""
+    """The endpoint list, its changes, and the connections of gateways."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
         self.index = FIRST_INDEX
-        self.oldest_index = FIRST_INDEX  # changes after this index are kept
-        self.entries: dict[int, fleet.EndpointEntry] = {}  # by number; one that has left is not there
+        self.oldest_index = FIRST_INDEX  # a watch from an older index starts with the whole list
+        # The entries by the number of the server; a server that has left has none.
+        self.entries: dict[int, fleet.EndpointEntry] = {}
         self.initial_entries: list[fleet.EndpointEntry] = []
-        self.changes: list[tuple[int, int, fleet.EndpointEntry]] = []  # index, number, entry as changed
-        self.written_changes: list[WrittenChange] = []  # since the last look
+        # The list's index after the change, the number of the server, and its new entry.
+        self.changes: list[tuple[int, int, fleet.EndpointEntry]] = []
+        self.written_changes: list[WrittenChange] = []  # since the last FetchWrittenChanges
         self.open_connections: set[DiscoveryConnection] = set()
-        self.watches: dict[DiscoveryConnection, None] = {}  # in order
+        self.watches: dict[DiscoveryConnection, None] = {}  # a set in order of insertion
         self.listeners: dict[str, asyncio.Server] = {}
         self.ports = dict.fromkeys(LISTEN_HOSTS, 0)
-        self.free_at_s = 0.0  # when the calls taken by now are handled
-        self.cached_list: tuple[int, bytes] = (-1, b"")
+        self.free_at_s = 0.0  # when all calls accepted so far will have been handled
+        self.cached_list: tuple[int, bytes] = (-1, b"")  # the index, and the list encoded at that index
         self.late = Histogram()
         self.stats: dict[str, dict[str, int]] = {
             kind: {"calls": 0, "turned_away": 0, "bytes": 0, "messages": 0} for kind in LISTEN_HOSTS
         }
 
     async def listen(self) -> dict[str, str]:
-        """Listen; returns the addresses by kind of gateways."""
+        """Start listening; return the addresses by kind of gateway."""
         for kind, host in LISTEN_HOSTS.items():
             create_connection = partial(
                 DiscoveryConnection,
@@ -92,7 +94,7 @@
             connection.abort()
 
     def set_fleet(self, servers: int, port: int) -> None:
-        """Another fleet: what was known of the old one is over."""
+        """Replace the fleet, discard all changes and close all connections."""
         self.initial_entries = fleet.entries(servers, port)
         self.entries = dict(enumerate(map(dict, self.initial_entries)))
         self.index += 1
@@ -102,10 +104,10 @@
         for connection in list(self.open_connections):
             connection.abort()
 
-    # Calls
+    # Requests
 
     def handle_request(self, connection: DiscoveryConnection, target: bytes) -> None:
-        """Handle a request in its turn, or turn it away."""
+        """Handle a request once those before it have been handled; answer 503 if that would take too long."""
         path, _, query = target.partition(b"?")
         if path != LIST_PATH:
             connection.answer(404)
@@ -128,18 +130,18 @@
             self.loop.call_at(self.free_at_s, self.answer_list, connection)
 
     def answer_list(self, connection: DiscoveryConnection) -> None:
-        """Answer the whole list."""
+        """Answer with the whole list."""
         connection.answer(200, self.encoded_list())
         self.stats[connection.gateway_kind]["messages"] += 1
 
     def encoded_list(self) -> bytes:
-        """The list of now; made once for each index."""
+        """Return the current list, encoded once for each index."""
         if self.cached_list[0] != self.index:
             self.cached_list = (self.index, encode_message(self.index, True, self.entries.values()))
         return self.cached_list[1]
 
     def start_watch(self, connection: DiscoveryConnection, since: int) -> None:
-        """Begin a watch with what has changed since an index, or with the whole list."""
+        """Start a watch with the changes since an index, or with the whole list if these are not known."""
         if connection.transport is None:
             return
         if self.oldest_index <= since <= self.index:
@@ -154,7 +156,7 @@
         self.watches[connection] = None
 
     def send_empty_lines(self) -> None:
-        """Send an empty line to all watches, now and again."""
+        """Send an empty line to all watches at regular intervals."""
         for connection in self.watches:
             connection.write(encode_chunk(b"\n"))
         self.loop.call_later(EMPTY_LINE_INTERVAL_S, self.send_empty_lines)
@@ -162,7 +164,16 @@
     # Changes
 
     def change(self, new_statuses: Iterable[tuple[int, str]], restarted: bool) -> int:
-        """Notify all watches in one message; returns when the first was written: nanoseconds, monotonic."""
+        """Change the status of servers and notify all watches in one message.
+
+        Args:
+            new_statuses: Pairs of a server's number and its new status.
+            restarted: Whether servers that become active have just started. It is False for the changes of a
+                probe, which are not added to `written_changes`.
+
+        Returns:
+            The time of the monotonic clock just before the message was written, in nanoseconds.
+        """
         self.index += 1
         changed = []
         for number, status in new_statuses:
@@ -180,7 +191,7 @@
         for connection in self.watches:
             connection.write(line)
             self.stats[connection.gateway_kind]["messages"] += 1
-        for entry in changed if restarted else ():  # a probe's are seen at the stand-ins
+        for entry in changed if restarted else ():  # probes are measured at the endpoints
             endpoint_id, status = endpoint_id_of(entry["name"]), STATUSES[entry["status"]].value
             self.written_changes.append(
                 WrittenChange(endpoint_id, status, entry["since_ms"] * 1000, written_ns)
@@ -188,7 +199,7 @@
         return written_ns
 
     def restore(self) -> None:
-        """Every server is active again, at once."""
+        """Set all servers that are not active to active, in one change."""
         inactive = [
             n for n in range(len(self.initial_entries)) if self.entries.get(n, {}).get("status") != "active"
         ]
@@ -196,7 +207,7 @@
             self.change(((n, "active") for n in inactive), restarted=True)
 
     async def play(self, changes: list[TimedChange], start_ns: int) -> None:
-        """Carry out (seconds after the start, what, servers), each at its time."""
+        """Make each change at its time, counted from a time of the monotonic clock."""
         for at_s, what, numbers in changes:
             wait_s = start_ns / 1e9 + at_s - time.monotonic()
             if wait_s > 0:
@@ -210,7 +221,7 @@
                 self.change(((n, what) for n in numbers if n < len(self.initial_entries)), restarted=True)
 
     async def handle(self, command: RegistryCommand) -> Any:
-        """Carry out a command; returns its answer."""
+        """Execute a command and return its answer."""
         match command:
             case StartDiscovery():
                 self.send_empty_lines()
@@ -236,7 +247,7 @@
         return None
 
     def read_stats(self) -> RegistryStats:
-        """The counters, by kind of gateways."""
+        """Return the counters by kind of gateway."""
         watches = dict.fromkeys(LISTEN_HOSTS, 0)
         for connection in self.watches:
             watches[connection.gateway_kind] += 1
@@ -247,13 +258,13 @@
 
 
 def encode_message(index: int, is_snapshot: bool, entries: Iterable[fleet.EndpointEntry]) -> bytes:
-    """A list or a change as gateways are sent it."""
+    """Encode a list or a change as it is sent to gateways."""
     raw = {"index": index, "snapshot": is_snapshot, "endpoints": list(entries)}
     return json.dumps(raw, separators=(",", ":")).encode()
 
 
 def create_handler() -> Handler[RegistryCommand]:
-    """The handler of commands, on the running event loop."""
+    """Return the handler of commands, for the running event loop."""
     return Registry(asyncio.get_running_loop()).handle
 
 
--- a/lab/registry_connection.py
+++ b/lab/registry_connection.py
@@ -10,19 +10,19 @@
 
 
 def encode_chunk(data: bytes) -> bytes:
-    """A chunk of a chunked body."""
+    """Encode a chunk of an HTTP body with chunked transfer coding."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
 class DiscoveryConnection(asyncio.Protocol):
-    """One connection of a gateway.
+    """The server's side of one connection from a gateway.
 
     Args:
-        gateway_kind: The kind of gateways that connect to this address.
-        counters: Of this kind; the bytes that are written are added to "bytes".
-        open_calls: The open connections: this one is among them while it is open.
-        watches: The connections with a watch: this one is removed once it is closed.
-        handle_call: Called with the connection and the target of each request.
+        gateway_kind: The kind of gateway that connects to this address.
+        counters: The counters of this kind; the bytes that are written are added to "bytes".
+        open_connections: The set of open connections, to which this one belongs while it is open.
+        watches: The connections with a watch, from which this one is removed when it closes.
+        handle_request: Called with the connection and the request target of each request.
     """
 
     def __init__(
@@ -73,16 +73,16 @@
         self.handle_request(self, self.target)
 
     def write(self, data: bytes) -> None:
-        """Send and count, unless it is closing."""
+        """Send data and count its bytes, unless the connection is closing."""
         if self.transport is not None and not self.transport.is_closing():
             self.counters["bytes"] += len(data)
             self.transport.write(data)
 
     def answer(self, status: int, body: bytes = b"") -> None:
-        """Send an answer of known length."""
+        """Send an answer with a Content-Length."""
         self.write(b"HTTP/1.1 %d Any\r\nContent-Length: %d\r\n\r\n%b" % (status, len(body), body))
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection at once."""
         if self.transport is not None:
             self.transport.abort()
--- a/lab/rig.py
+++ b/lab/rig.py
@@ -1,4 +1,4 @@
-"""The parts that all runs on loopback have: stand-ins, clients, real gateways."""
+"""The processes that all runs on loopback have in common: stand-ins, clients and real gateways."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
 from lab.processes import Child, Children
 from lab.records import Plan, Problems, Reading
 
-START_TIMEOUT_S = 120.0  # until a gateway is ready, at most
-WATCH_TIMEOUT_S = 20.0  # until it watches
-POLL_S = 0.005
-GATEWAY_SOCKETS = 1024
-EXTRA_REQUEST_IDS = 100  # of request ids, beyond what a rate gives on average
+START_TIMEOUT_S = 120.0  # from a gateway's start until it is ready
+WATCH_TIMEOUT_S = 20.0  # until all gateways have a watch at discovery
+POLL_S = 0.005  # between two checks whether a gateway is ready
+GATEWAY_SOCKETS = 1024  # limit on a gateway's sockets
+EXTRA_REQUEST_IDS = 100  # margin, since random arrivals may exceed the mean rate
 WRONG_ANSWERS = ("wrong body", "400", "404")
 
 ReportProgress = Callable[[str], None]
@@ -43,7 +43,16 @@
 
 @dataclass
 class RealGateway:
-    """A gateway process that is ready."""
+    """A gateway process that is ready.
+
+    Attributes:
+        child: The process.
+        address: The address on which it listens.
+        ready_s: Seconds from its start until it was ready.
+        start_cpu_s: Processor seconds until it was ready.
+        resident_at_ready_bytes: Its resident memory when it was ready.
+        settings_bytes: The length of its encoded settings.
+    """
 
     child: Child
     address: Address
@@ -54,7 +63,7 @@
 
 
 class Rig:
-    """Starts and asks the processes of a run."""
+    """Starts the processes of a run and sends them commands."""
 
     def __init__(self, plan: Plan, children: Children, out: Path, report_progress: ReportProgress) -> None:
         self.plan = plan
@@ -63,13 +72,16 @@
         self.report_progress = report_progress
         self.problems = Problems()
         self.real_gateways: list[RealGateway] = []
-        self.simulated_processes: list[Child] = []  # processes of many gateways each
-        self.simulated_base_bytes = 0  # bytes that they hold without a gateway, the settings read
-        self.addresses: dict[str, str] = {}  # of discovery
-        self.ports: dict[str, int] = {}  # of the statement servers
+        self.simulated_processes: list[Child] = []  # each holds many simulated gateways
+        # Resident memory of these processes with their settings read, before the first gateway is started.
+        self.simulated_base_bytes = 0
+        self.addresses: dict[str, str] = {}  # discovery's address for each kind of gateway
+        self.ports: dict[str, int] = {}  # the endpoints' port for each target
         self.list_index = 0
         self.list_bytes = 0
-        self._next_request_id = 2  # even, so that each pair has one service time
+        # Even: a request through a gateway has an even id, and its direct counterpart the next odd one. The
+        # stand-in for the endpoints gives such a pair the same service time.
+        self._next_request_id = 2
 
     async def open(self) -> None:
         """Start the stand-ins and the clients."""
@@ -80,7 +92,7 @@
         self.ports = await self.statements.execute(StartEndpoints(seed=self.plan.seed))
 
     async def set_fleet(self, endpoints: int) -> None:
-        """Let discovery list another fleet."""
+        """Replace the fleet that discovery lists."""
         state = await self.registry.execute(SetFleet(endpoints=endpoints, port=self.ports["gateway"]))
         self.list_index = state.index
         self.list_bytes = state.bytes
@@ -88,7 +100,7 @@
     def write_config(
         self, name: str, servers: int, routes: int, tenants: int, index: int = 0, gateways: int = 1
     ) -> tuple[Path, int]:
-        """Write a gateway's configuration file; returns how long its settings are too, in bytes."""
+        """Write a gateway's configuration file; return its path and the length of its settings in bytes."""
         settings = fleet.settings(routes, tenants, gateways, index)
         entries = fleet.entries(servers, self.ports["gateway"])
         config = {
@@ -107,7 +119,12 @@
     async def start_gateway(
         self, name: str, servers: int, routes: int, tenants: int, index: int = 0, gateways: int = 1
     ) -> RealGateway:
-        """Start a real gateway; returns once it says that it is ready."""
+        """Start a real gateway and wait until it is ready.
+
+        Raises:
+            ChildError: The gateway has ended.
+            TimeoutError: The gateway is not ready in time.
+        """
         path, settings_bytes = self.write_config(name, servers, routes, tenants, index, gateways)
         host = f"127.0.1.{index + 1}"
         with socket.create_server((host, 0)) as listener:
@@ -126,9 +143,9 @@
         )
 
     async def start_real_gateways(self) -> None:
-        """Start all real gateways of the plan; returns once they watch."""
+        """Start all real gateways of the plan and wait until each has a watch at discovery."""
         plan = self.plan
-        self.report_progress(f"{plan.real} real gateways")
+        self.report_progress(f"{plan.real} real gateways are starting")
         self.list_index = (await self.registry.execute(ReadRegistryStats())).index
         starting = (
             self.start_gateway(f"real-{n}", plan.servers, plan.routes, plan.tenants, n, plan.real)
@@ -138,7 +155,7 @@
         await self.await_watches("real", plan.real)
 
     async def await_watches(self, kind: str, count: int) -> None:
-        """Wait until so many gateways of a kind watch."""
+        """Wait until `count` gateways of a kind have a watch at discovery, or note that they do not."""
         try:
             async with asyncio.timeout(WATCH_TIMEOUT_S):
                 while (await self.registry.execute(ReadRegistryStats())).counters[kind].watches < count:
@@ -147,7 +164,7 @@
                     await asyncio.sleep(4 * POLL_S)
         except TimeoutError:
             self.problems.schedule.append(
-                f"of {count} {kind} gateways not all watch after {WATCH_TIMEOUT_S:g} s"
+                f"not all {count} {kind} gateways had a watch after {WATCH_TIMEOUT_S:g} s"
             )
 
     async def play_clients(
@@ -159,10 +176,19 @@
         tenants: int,
         warm_up_s: float,
     ) -> FinishRequests:
-        """Start clients; straight requests go along where they are to be compared.
+        """Start sending requests through gateways.
+
+        Args:
+            gateways: The gateways.
+            rate: Requests a second through all of them together.
+            seconds: How long requests are sent.
+            routes: The number of routes.
+            tenants: The number of tenants.
+            warm_up_s: Seconds from the start in which requests are not counted. Unless it is 0, as many
+                requests are sent directly to endpoints, so that the latencies can be compared.
 
         Returns:
-            What waits until all requests have ended, and returns what came of them.
+            A function that waits until all requests have ended, and returns their results by target.
         """
         direct_count = min(MAX_DIRECT_ENDPOINTS, self.plan.servers) if warm_up_s else 0
         await self.clients.execute(
@@ -193,7 +219,7 @@
         return result.targets
 
     async def read_counters(self) -> Reading:
-        """The counters of now; how late the stand-ins are is noted with them."""
+        """Read the counters of all processes, and note how late the processes were."""
         registry, statements = await asyncio.gather(
             self.registry.execute(ReadRegistryStats()), self.statements.execute(ReadEndpointStats())
         )
@@ -211,7 +237,7 @@
 
 
 async def is_ready(host: str, port: int) -> bool:
-    """Whether a gateway says that it is ready."""
+    """Return whether a gateway answers that it is ready."""
     try:
         reader, writer = await asyncio.open_connection(host, port)
     except OSError:
--- a/lab/running.py
+++ b/lab/running.py
@@ -1,4 +1,4 @@
-"""Runs from the command line: interruptible, with a result file and an exit code."""
+"""Plays a run for the command line: handles interrupts, writes the result file, chooses the exit code."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from lab.rig import ReportProgress
 
 EXIT_FAILED = 1
-EXIT_OVERLOADED = 3  # the schedule was not kept
+EXIT_OVERLOADED = 3  # The schedule was not kept, so the figures are void.
 EXIT_INTERRUPTED = 130
 
 T = TypeVar("T")
@@ -29,20 +29,25 @@
     play: Callable[[ReportProgress], Coroutine[Any, Any, dict[str, Any]]],
     make_report: Callable[[dict[str, Any]], str],
 ) -> int:
-    """Run with the result in a directory, its table on standard output and progress on standard error.
+    """Play a run, write its result to `out`/result.json and print its report.
+
+    Progress goes to standard error.
 
     Args:
-        out: The directory; it is made.
-        play: The run, given where to report progress.
-        make_report: The table of a result.
+        out: The directory for the result; created if missing.
+        play: Plays the run; called with the function that reports its progress.
+        make_report: Returns the printed report of a result.
 
     Returns:
         The exit code.
+
+    Raises:
+        click.BadParameter: The directory cannot be created.
     """
     try:
         out.mkdir(parents=True, exist_ok=True)
     except OSError as error:
-        raise click.BadParameter(f"{out} cannot be made: {error.strerror}") from None
+        raise click.BadParameter(f"{out} cannot be created: {error.strerror}") from None
     started_s = time.monotonic()
 
     def report_progress(text: str) -> None:
@@ -64,13 +69,13 @@
 
 
 def run_interruptible(play: Coroutine[Any, Any, T]) -> T | None:
-    """What it returns; None once SIGINT or SIGTERM has ended it, after its own tidying up."""
+    """Return the result of `play`, or None if SIGINT or SIGTERM cancelled it; its cleanup still runs."""
 
     async def main() -> T | None:
         loop, task = asyncio.get_running_loop(), asyncio.ensure_future(play)
 
         def interrupt() -> None:
-            for signal_number in (signal.SIGINT, signal.SIGTERM):  # once: the tidying up is not interrupted
+            for signal_number in (signal.SIGINT, signal.SIGTERM):  # further signals are ignored
                 loop.add_signal_handler(signal_number, lambda: None)
             task.cancel()
 
--- a/lab/scale.py
+++ b/lab/scale.py
@@ -1,4 +1,8 @@
-"""The scale run: stand-ins, clients, real and simulated gateways at a size; its phases."""
+"""The scale run: measures gateways and stand-ins at a given size.
+
+One real gateway is measured at several sizes, then growing numbers of simulated gateways. Then the scenarios
+are played with all gateways.
+"""
 
 from __future__ import annotations
 
@@ -32,19 +36,19 @@
 from lab.records import InForceRecord, Plan, Point, Reading, ScenarioRecord
 from lab.rig import START_TIMEOUT_S, ReportProgress, Rig
 
-SIZES_PER_KIND = 4  # sizes of each kind, up to the one asked
-BASE_SIZES = {"servers": 20, "routes": 4, "tenants": 4}  # of those that a sweep leaves alone
-SWEEP_RATE = 200.0  # requests a second to the one gateway
-STEP_S = 1.5  # of an ordinary day at each number of simulated gateways
-MAX_GATEWAYS_PER_PROCESS = 25  # simulated gateways at most
-MIN_PROCESSES = psutil.cpu_count() or 1  # if there are as many gateways
-SEED_STRIDE = 1000
-SETTLE_S = 0.5
-WARM_UP_S = 0.5
+SIZES_PER_KIND = 4  # points of a sweep, up to the size in the plan
+BASE_SIZES = {"servers": 20, "routes": 4, "tenants": 4}  # sizes of the kinds that a sweep does not vary
+SWEEP_RATE = 200.0  # requests a second to the gateway that is measured
+STEP_S = 1.5  # duration of the changes at each number of simulated gateways
+MAX_GATEWAYS_PER_PROCESS = 25  # limit on the simulated gateways in one process
+MIN_PROCESSES = psutil.cpu_count() or 1  # of simulated gateways, unless there are fewer gateways
+SEED_STRIDE = 1000  # between the seeds of two processes' requests
+SETTLE_S = 0.5  # after the last change, until it is in force everywhere
+WARM_UP_S = 0.5  # seconds of requests that are not counted, while connections are opened
 
 
 async def sweep(rig: Rig) -> dict[str, list[Point]]:
-    """One real gateway alone at several sizes of each kind, the others small."""
+    """Measure one real gateway at several numbers of servers, routes and tenants, one kind at a time."""
     plan = rig.plan
     plan_sizes = {"servers": plan.servers, "routes": plan.routes, "tenants": plan.tenants}
     base_sizes = {kind: min(BASE_SIZES[kind], plan_sizes[kind]) for kind in plan_sizes}
@@ -52,13 +56,13 @@
     for kind, largest in plan_sizes.items():
         points[kind] = []
         for size in sweep_sizes(largest):
-            rig.report_progress(f"one gateway with {size} {kind}")
+            rig.report_progress(f"one real gateway with {size} {kind}")
             points[kind].append({"size": size, **await measure_real_gateway(rig, {**base_sizes, kind: size})})
     return points
 
 
 async def measure_real_gateway(rig: Rig, size: dict[str, int]) -> Point:
-    """The figures of one gateway at a size."""
+    """Start one real gateway at a size, send requests and return its figures."""
     name = "sweep-" + "x".join(map(str, size.values()))
     await rig.set_fleet(size["servers"])
     try:
@@ -91,7 +95,7 @@
 
 
 async def sweep_simulated_gateways(rig: Rig) -> list[Point]:
-    """More and more simulated gateways, an ordinary day at each number of them."""
+    """Measure growing numbers of simulated gateways during ordinary changes at discovery."""
     plan = rig.plan
     count = min(plan.simulated, max(MIN_PROCESSES, math.ceil(plan.simulated / MAX_GATEWAYS_PER_PROCESS)))
     path, _ = rig.write_config("hollow", plan.servers, plan.routes, plan.tenants, 0, plan.simulated)
@@ -106,10 +110,10 @@
         ]
         rig.simulated_base_bytes = sum(await execute_on_each(rig, reads))
         for size in sweep_sizes(plan.simulated):
-            rig.report_progress(f"{size} hollow gateways")
+            rig.report_progress(f"{size} simulated gateways")
             points.append(await measure_simulated_gateways(rig, size, points[-1]["size"] if points else 0))
     except MemoryBoundError as error:
-        rig.problems.over_bound.append(f"{size} hollow gateways: {error}")
+        rig.problems.over_bound.append(f"{size} simulated gateways: {error}")
         points.append({"size": size, "over_bound": True})
         for child in rig.simulated_processes:
             await rig.children.end(child, graceful=False)
@@ -118,7 +122,7 @@
 
 
 async def execute_on_each(rig: Rig, commands: Sequence[Command[Any]]) -> list[Any]:
-    """Send each process of simulated gateways its command; returns their answers."""
+    """Send each process of simulated gateways its command and return their answers."""
     pending = (
         child.execute(command) for child, command in zip(rig.simulated_processes, commands, strict=True)
     )
@@ -126,7 +130,7 @@
 
 
 async def add_gateways(rig: Rig, size: int, present: int) -> float:
-    """Let the simulated gateways be `size` in all; returns how long that took."""
+    """Start simulated gateways until there are `size` instead of `present`; return the seconds it took."""
     plan, count = rig.plan, len(rig.simulated_processes)
     additions = [fair_share(size, count, n) - fair_share(present, count, n) for n in range(count)]
     started_s = time.monotonic()
@@ -140,7 +144,7 @@
 
 
 async def measure_simulated_gateways(rig: Rig, size: int, present: int) -> Point:
-    """The figures of a number of simulated gateways."""
+    """Start simulated gateways until there are `size`, play ordinary changes and return the figures."""
     plan = rig.plan
     add_s = await add_gateways(rig, size, present)
     await rig.await_watches("hollow", size)
@@ -181,7 +185,7 @@
 
 
 async def measure_in_force(rig: Rig) -> InForceRecord:
-    """How soon the simulated gateways received what discovery has written since the last call."""
+    """Measure how soon the changes since the last call were in force at the simulated gateways."""
     changes = await rig.registry.execute(FetchWrittenChanges())
     record = InForceRecord(Histogram(), len(changes), 0)
     pending = (child.execute(MeasureInForce(changes=changes)) for child in rig.simulated_processes)
@@ -192,12 +196,12 @@
 
 
 async def play_scenario(rig: Rig, name: str) -> ScenarioRecord:
-    """Churn and requests for a while; what it took of each role, and how soon changes were in force."""
+    """Play one scenario, with requests and probes through real gateways if there are any."""
     plan = rig.plan
     changes = schedule.churn(plan.seed, name, plan.servers, plan.seconds)
     for child in rig.children.running:
         child.raise_if_ended()
-    await measure_in_force(rig)  # what came before is not this scenario's
+    await measure_in_force(rig)  # discards the changes before this scenario
     psutil.cpu_percent()
     before = await rig.read_counters()
     start_ns = time.monotonic_ns()
@@ -220,26 +224,26 @@
 
 
 def check_cores(rig: Rig, name: str, before: Reading, after: Reading) -> None:
-    """Note the processes of the rig that took all of a core."""
+    """Note a problem for each process of the rig, apart from real gateways, that used nearly a whole core."""
     processes = ["registry", "statements", "clients", *(child.name for child in rig.simulated_processes)]
     for process in processes:
         core_share = (after.cpu_s[process] - before.cpu_s[process]) / (after.time_s - before.time_s)
         if core_share > FULL_CORE:
-            rig.problems.schedule.append(f"{name}: {process} took {core_share:.2f} of a core")
+            rig.problems.schedule.append(f"{name}: {process} used {core_share:.2f} of a core")
 
 
 def sweep_sizes(largest: int) -> list[int]:
-    """Evenly up to the one asked."""
+    """Return up to SIZES_PER_KIND sizes, evenly spaced, the last of them `largest`."""
     return sorted({max(1, round(largest * n / SIZES_PER_KIND)) for n in range(1, SIZES_PER_KIND + 1)})
 
 
 def fair_share(total: int, shares: int, index: int) -> int:
-    """A fair part of whole things."""
+    """Return the size of one share when `total` things are divided as evenly as possible."""
     return total // shares + (index < total % shares)
 
 
 async def start_real_gateways(rig: Rig) -> None:
-    """Start the real gateways; without them the run goes on where they are over a bound."""
+    """Start the real gateways; if they exceed a bound, end them and continue the run without them."""
     try:
         await rig.start_real_gateways()
     except (MemoryBoundError, TimeoutError) as error:
@@ -250,7 +254,7 @@
 
 
 async def play_scenarios(rig: Rig) -> dict[str, ScenarioRecord]:
-    """All scenarios of the plan, up to one that is over a bound."""
+    """Play the scenarios of the plan; stop at one that exceeds the memory bound."""
     scenarios = {}
     for name in rig.plan.scenarios:
         rig.report_progress(f"{name}: {rig.plan.seconds:g} s")
@@ -263,7 +267,7 @@
 
 
 async def play(plan: Plan, out: Path, report_progress: ReportProgress) -> dict[str, Any]:
-    """The whole run; every child has ended when it returns, also by an exception."""
+    """Play the run and return its result; every child has ended afterwards, even after an exception."""
     started_s = time.monotonic()
     logs = out / "logs"
     logs.mkdir(parents=True, exist_ok=True)
--- a/lab/schedule.py
+++ b/lab/schedule.py
@@ -1,4 +1,4 @@
-"""Seeded schedules: pure functions of their arguments, so equal seeds give equal schedules."""
+"""Seeded schedules of changes and requests: equal arguments give equal schedules."""
 
 from __future__ import annotations
 
@@ -15,18 +15,17 @@
 Ints = NDArray[np.int64]
 Floats = NDArray[np.float64]
 
-ZIPF_EXPONENT = (
-    1.0  # exponent of the choice of routes and tenants: the first is chosen twice as often as the second
-)
+# Skew of the choice of routes and tenants: with 1, the first is chosen twice as often as the second.
+ZIPF_EXPONENT = 1.0
 
 
 def stream(seed: int, purpose: str) -> np.random.Generator:
-    """A generator of its own for each concern: drawing more for one changes no other."""
+    """Return a random generator of its own for each purpose: drawing more from one changes no other."""
     return np.random.default_rng([seed, zlib.crc32(purpose.encode())])
 
 
 def arrivals(rng: np.random.Generator, rate_per_s: float, seconds: float) -> Floats:
-    """Times in seconds of a Poisson process, ascending, within [0, seconds)."""
+    """Return the times of a Poisson process in ascending order, in seconds within [0, seconds)."""
     if rate_per_s <= 0.0 or seconds <= 0.0:
         return np.empty(0)
     gaps = rng.exponential(1.0 / rate_per_s, int(rate_per_s * seconds * 1.2) + 20)
@@ -37,7 +36,7 @@
 
 
 def zipf(rng: np.random.Generator, kinds: int, count: int) -> Ints:
-    """`count` numbers below `kinds`; number n is chosen with a weight of (n + 1) ** -SKEW."""
+    """Return `count` random numbers below `kinds`; n has a weight of (n + 1) ** -ZIPF_EXPONENT."""
     cumulative_weights = np.cumsum(np.arange(1, kinds + 1, dtype=np.float64) ** -ZIPF_EXPONENT)
     chosen: Ints = np.searchsorted(
         cumulative_weights, rng.random(count) * cumulative_weights[-1], side="right"
@@ -45,19 +44,20 @@
     return chosen.clip(0, kinds - 1)
 
 
-# Churn: what happens at discovery, as (seconds after the start, what, servers). What is a status, down or up.
+# Churn: changes at discovery
 
+# Seconds after the start; the servers' new status, or "down" or "up" for discovery; the servers' numbers.
 Change = tuple[float, str, list[int]]
-DRAIN_S = 0.5  # from leaving to left
-DOWN_S = 1.0  # from left to active again
-RESTART_INTERVAL_S = 2_100  # an ordinary day restarts so many servers, or their part, in a second
-MIN_RESTARTS_PER_S = 4.0  # small fleets restart no less often: enough to measure
+DRAIN_S = 0.5  # from "leaving" to "left"
+DOWN_S = 1.0  # from "left" to "active" again
+RESTART_INTERVAL_S = 2_100  # mean time between two restarts of a server on an ordinary day
+MIN_RESTARTS_PER_S = 4.0  # of a small fleet: enough to measure
 WAVE_SHARE = 0.02  # share of a zone's servers that a release restarts at once
-OUTAGE_SHARE = 0.3  # of the time, discovery is down
+OUTAGE_SHARE = 0.3  # share of the scenario during which discovery is down
 
 
 def restart_changes(at_s: float, servers: list[int]) -> list[Change]:
-    """They drain, leave and start anew."""
+    """Return the changes of servers that drain, leave and start again."""
     return [
         (at_s, "leaving", servers),
         (at_s + DRAIN_S, "left", servers),
@@ -66,7 +66,7 @@
 
 
 def ordinary(rng: np.random.Generator, servers: int, seconds: float) -> list[Change]:
-    """Single servers are restarted at random; none again before it is back."""
+    """Restart single servers at random, none again until some time after its restart."""
     free_at_s = np.zeros(servers)
     changes: list[Change] = []
     for at_s in arrivals(rng, max(MIN_RESTARTS_PER_S, servers / RESTART_INTERVAL_S), seconds).tolist():
@@ -78,7 +78,7 @@
 
 
 def release(rng: np.random.Generator, servers: int, seconds: float) -> list[Change]:
-    """Zone after zone, wave after wave, evenly over the time: every server is restarted once."""
+    """Restart every server once: zone by zone, in waves that are evenly spread over the scenario."""
     waves: list[list[int]] = []
     for zone in range(len(fleet.ZONES)):
         numbers = rng.permutation(np.arange(zone, servers, len(fleet.ZONES))).tolist()
@@ -90,30 +90,30 @@
 
 
 def _fail_together(servers: list[int], seconds: float) -> list[Change]:
-    """They are gone at once and without a word, and return together."""
+    """Return the changes of servers that leave together without draining, and later return together."""
     return [(seconds * 0.2, "left", servers), (seconds * 0.6, "active", servers)] if servers else []
 
 
 def rack(rng: np.random.Generator, servers: int, seconds: float) -> list[Change]:
-    """The servers of one rack."""
+    """Fail the servers of one rack."""
     chosen = fleet.rack_of(int(rng.integers(servers)))
     return _fail_together([n for n in range(servers) if fleet.rack_of(n) == chosen], seconds)
 
 
 def zone(rng: np.random.Generator, servers: int, seconds: float) -> list[Change]:
-    """The servers of one zone."""
+    """Fail the servers of one zone."""
     chosen = str(rng.choice(fleet.ZONES))
     return _fail_together([n for n in range(servers) if fleet.zone_of(n) == chosen], seconds)
 
 
 def region(rng: np.random.Generator, servers: int, seconds: float) -> list[Change]:
-    """The servers of one region."""
+    """Fail the servers of one region."""
     chosen = fleet.REGIONS[str(rng.choice(list(fleet.REGIONS)))]
     return _fail_together([n for n in range(servers) if fleet.zone_of(n) in chosen], seconds)
 
 
 def outage(rng: np.random.Generator, servers: int, seconds: float) -> list[Change]:
-    """Discovery is down for a while amid an ordinary day, and all gateways return to it together."""
+    """Take discovery down for a while amid ordinary changes; all gateways then reconnect together."""
     outage_changes: list[Change] = [(seconds * 0.2, "down", []), (seconds * (0.2 + OUTAGE_SHARE), "up", [])]
     return ordinary(rng, servers, seconds) + outage_changes
 
@@ -129,25 +129,32 @@
 
 
 def churn(seed: int, scenario: str, servers: int, seconds: float) -> list[Change]:
-    """One scenario's changes in order of time; at the end of the last all servers are active again."""
+    """Return a scenario's changes in order of time; after the last one all servers are active again."""
     rng = stream(seed, f"churn {scenario}")
     return sorted(SCENARIOS[scenario](rng, servers, seconds), key=itemgetter(0))
 
 
 @dataclass(frozen=True, slots=True)
 class RequestSchedule:
-    """Requests of clients, or of one process of simulated gateways: equal lengths, in order of time."""
+    """Requests in order of time, as lists of equal length.
+
+    Attributes:
+        times_s: Seconds after the start.
+        routes: The number of each request's route.
+        tenants: The number of each request's tenant.
+        targets: The index of the gateway to which each request goes; uniformly distributed.
+    """
 
     times_s: list[float]
     routes: list[int]
     tenants: list[int]
-    targets: list[int]  # which gateway, evenly
+    targets: list[int]
 
 
 def requests(
     seed: int, purpose: str, rate_per_s: float, seconds: float, routes: int, tenants: int, targets: int
 ) -> RequestSchedule:
-    """Requests at random times, routes and tenants, as `concern` has them with this seed."""
+    """Return requests with random times, routes, tenants and targets from the generator of a purpose."""
     rng = stream(seed, purpose)
     times = arrivals(rng, rate_per_s, seconds)
     return RequestSchedule(
--- a/lab/statements.py
+++ b/lab/statements.py
@@ -1,7 +1,8 @@
-"""A stand-in for statement servers: thousands of addresses of loopback in one process, on one port of each.
+"""A stand-in for endpoints: one process that serves requests at thousands of loopback addresses.
 
-It listens twice: for gateways, and for the same requests sent straight. The sockets are bound to the loopback
-device, so that no address of another device is served.
+It listens on one port for gateways, and on another for requests that clients send directly. Both sockets
+accept connections to any address, but are bound to the loopback device, so that no address of another device
+is served.
 """
 
 from __future__ import annotations
@@ -32,13 +33,13 @@
 REQUEST_ID = re.compile(rb"[0-9a-f]{16}")
 MEAN_SERVICE_S = 0.005
 TARGETS = ("gateway", "direct")
-MIN_IDLE_S = 0.05  # a connection that a probe may count on rests for so long
-EXPIRY_CHECK_INTERVAL_S = 1.0
-SERVICE_TIME_COUNT = 4096
+MIN_IDLE_S = 0.05  # a connection that was in use more recently is not watched by a probe
+EXPIRY_CHECK_INTERVAL_S = 1.0  # between two searches for connections that were idle for too long
+SERVICE_TIME_COUNT = 4096  # service times that are drawn in advance and reused
 
 
 class EndpointConnection(asyncio.Protocol):
-    """One connection to a statement server."""
+    """The server's side of one connection to an endpoint."""
 
     def __init__(self, endpoints: StandInEndpoints, target: str) -> None:
         self.endpoints = endpoints
@@ -47,7 +48,7 @@
         self.transport: asyncio.Transport | None = None
         self.endpoint_number = 0
         self.busy = False
-        self.idle_since_ns = time.monotonic_ns()  # since the last answer
+        self.idle_since_ns = time.monotonic_ns()  # time of the last answer
         self.closed_ns = 0
         self.url = b""
         self.headers: dict[bytes, bytes] = {}
@@ -67,7 +68,7 @@
 
     def eof_received(self) -> bool:
         """See asyncio.Protocol."""
-        return False  # who ends sending gives the attempt up
+        return False  # close: a gateway that ends its side has given up the attempt
 
     def data_received(self, data: bytes) -> None:
         """See asyncio.Protocol."""
@@ -94,10 +95,10 @@
         """See httptools."""
         stats = self.endpoints.stats[self.target]
         request_id = self.headers.get(b"request-id", b"")
-        if self.busy:  # one request at a time
+        if self.busy:  # the protocol allows one request at a time
             stats["bad"] += 1
             self.abort()
-        elif not request_id:  # probes too: the settings allow none
+        elif not request_id:  # also health checks, which the settings do not use
             self.answer(404, b"")
         elif not REQUEST_ID.fullmatch(request_id):
             stats["bad"] += 1
@@ -109,13 +110,13 @@
             self.endpoints.loop.call_later(wait_s, self.serve, request_id, time.monotonic() + wait_s)
 
     def serve(self, request_id: bytes, due_s: float) -> None:
-        """Answer a request once its service time is over."""
+        """Answer a request at the end of its service time."""
         self.endpoints.late.record((time.monotonic() - due_s) * 1e6)
         self.busy = False
         self.answer(200, b"%b %b\n" % (request_id, self.url.partition(b"?")[0]))
 
     def answer(self, status: int, body: bytes) -> None:
-        """Send an answer, with a load report where it is a success."""
+        """Send an answer; one with status 200 carries a load report."""
         if self.transport is None or self.transport.is_closing():
             return
         report = (
@@ -129,13 +130,13 @@
         self.transport.write(data)
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection at once."""
         if self.transport is not None:
             self.transport.abort()
 
 
 class StandInEndpoints:
-    """All statement servers, and their connections by target: through gateways, and straight."""
+    """All endpoints, and their connections by target: "gateway" or "direct"."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -144,16 +145,21 @@
             target: dict.fromkeys(("requests", "connections", "bytes", "bad"), 0) for target in TARGETS
         }
         self.late = Histogram()
-        self.watched: dict[int, list[EndpointConnection]] = {}  # by server: idle there when a probe began
+        # The idle connections that a probe watches, by the number of the endpoint.
+        self.watched: dict[int, list[EndpointConnection]] = {}
         self.service_times_s: list[float] = [MEAN_SERVICE_S]
         self.listeners: list[asyncio.Server] = []
 
     def service_s(self, request_id: bytes) -> float:
-        """By the request's id, of which two neighbours are one request: through a gateway and straight."""
+        """Return the service time of a request by its id.
+
+        An even id and the next odd one belong to one request that is sent through a gateway and directly, and
+        have the same service time.
+        """
         return self.service_times_s[(int(request_id, 16) >> 1) % len(self.service_times_s)]
 
     async def listen(self, seed: int) -> dict[str, int]:
-        """Listen; returns the ports by target."""
+        """Draw the service times and start listening; return the ports by target."""
         rng = schedule.stream(seed, "service")
         self.service_times_s = (MEAN_SERVICE_S * (0.5 + rng.gamma(4.0, 0.125, SERVICE_TIME_COUNT))).tolist()
         ports = {}
@@ -168,7 +174,7 @@
         return ports
 
     def close_expired(self) -> None:
-        """Close connections that have been idle for too long, now and again."""
+        """Close connections that were idle for longer than the keep-alive time, at regular intervals."""
         oldest_ns = time.monotonic_ns() - fleet.KEEPALIVE_US * 1000
         for target in TARGETS:
             for connection in [
@@ -178,7 +184,7 @@
         self.loop.call_later(EXPIRY_CHECK_INTERVAL_S, self.close_expired)
 
     def idle_connections(self) -> dict[int, list[EndpointConnection]]:
-        """Idle connections of gateways, by server."""
+        """Return the idle connections from gateways by the number of the endpoint."""
         idle: dict[int, list[EndpointConnection]] = {}
         before_ns = time.monotonic_ns() - int(MIN_IDLE_S * 1e9)
         for connection in self.connections["gateway"]:
@@ -187,9 +193,10 @@
         return idle
 
     def closes(self, endpoint: int, since_ns: int) -> Closes:
-        """What became of the watched connections of an endpoint.
+        """Return when the watched connections of an endpoint were closed, and how many are open.
 
-        One that was taken for a request in between is closed after its answer, so that counts with it.
+        A connection that was used for a request in between is closed after its answer. Its latency therefore
+        includes the request.
         """
         watched = self.watched.get(endpoint, [])
         closed = [c.closed_ns for c in watched if c.transport is None]
@@ -197,7 +204,7 @@
         return Closes(after_us, len(watched) - len(closed))
 
     async def handle(self, command: EndpointCommand) -> Any:
-        """Carry out a command; returns its answer."""
+        """Execute a command and return its answer."""
         match command:
             case StartEndpoints():
                 return await self.listen(command.seed)
@@ -218,7 +225,7 @@
 
 
 def create_handler() -> Handler[EndpointCommand]:
-    """The handler of commands, on the running event loop."""
+    """Return the handler of commands, for the running event loop."""
     return StandInEndpoints(asyncio.get_running_loop()).handle
 
 
--- a/tests/lab/test_fit.py
+++ b/tests/lab/test_fit.py
@@ -1,4 +1,4 @@
-"""Straight lines."""
+"""Lines fitted to figures at several sizes."""
 
 from __future__ import annotations
 
--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet of the rig, and what imports what."""
+"""The simulated fleet, and that load_balancer does not import the lab."""
 
 from __future__ import annotations
 
--- a/tests/lab/test_processes.py
+++ b/tests/lab/test_processes.py
@@ -1,4 +1,4 @@
-"""Children under a bound of memory."""
+"""Child processes and their memory bound."""
 
 from __future__ import annotations
 
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -1,4 +1,4 @@
-"""A tiny scale run, whole and interrupted."""
+"""A small scale run: that it completes, and that it ends its children when it is interrupted."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize("signal_number", [signal.SIGINT, signal.SIGTERM])
 def test_an_interrupted_run_ends_its_children(signal_number: signal.Signals, tmp_path: Path) -> None:
-    """The first line of progress comes once the stand-ins are up."""
+    """Send the signal after the first line of progress, when the stand-ins and the clients run."""
     with start_scale_run(tmp_path) as child:
         assert child.stderr is not None
         assert child.stderr.readline()
--- a/tests/lab/test_stand_ins.py
+++ b/tests/lab/test_stand_ins.py
@@ -1,4 +1,4 @@
-"""A real gateway between the rig's stand-ins, which keep PROTOCOL."""
+"""A real gateway with the lab's stand-ins for discovery and endpoints, which must follow the protocol."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 @asynccontextmanager
 async def running_rig(index: int | None = None) -> AsyncIterator[Rig]:
-    """The real gateway between the rig's stand-ins; it has last held the list of `index`."""
+    """Start a real gateway with the stand-ins; its cached list has `index`, by default the current one."""
     loop = asyncio.get_running_loop()
     registry, statements = Registry(loop), StandInEndpoints(loop)
     ports = await statements.listen(seed=1)
@@ -154,7 +154,7 @@
 
 
 def test_the_gateway_closes_idle_connections_to_a_leaving_endpoint(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("lab.statements.MIN_IDLE_S", -1.0)  # no wait: what has answered is idle
+    monkeypatch.setattr("lab.statements.MIN_IDLE_S", -1.0)  # a connection counts as idle at once
 
     async def test() -> None:
         async with running_rig() as rig:
