--- a/lab/fit.py
+++ b/lab/fit.py
@@ -19,7 +19,7 @@
         `figures`: `slope` is the rise for each unit of size, and `at_zero` the line's value at size 0.
         `residual` is the root mean square of the distances between the figures and the line. All three are in
         the figures' unit. `residual_share` is the residual divided by the line's rise over the range of
-        sizes, or None where the line is flat; above 1 the slope is not significant.
+        sizes, or None where the line is flat; above 1 the slope means little.
     """
     if len(set(sizes)) < MIN_SIZES:
         return None
--- a/lab/fleet.py
+++ b/lab/fleet.py
@@ -1,4 +1,4 @@
-"""The simulated fleet: addresses, zones and racks of its servers, and the settings of its gateways."""
+"""The fleet of a run: addresses, zones and racks of its servers, and the settings of its gateways."""
 
 from __future__ import annotations
 
@@ -75,7 +75,7 @@
 
     Args:
         routes: The number of routes, each with a request class of its own.
-        tenants: The number of tenants; they have equal shares.
+        tenants: The number of tenants.
         gateways: The number of gateways in the fleet.
         index: This gateway's index among them.
     """
--- a/lab/messages.py
+++ b/lab/messages.py
@@ -186,7 +186,7 @@
     """When watched connections were closed.
 
     Attributes:
-        after_us: For each connection that was closed, the microseconds from the given time to the close.
+        after_us: For each connection closed since the given time, the microseconds from then to the close.
         standing: The number of connections that are still open.
     """
 
--- a/lab/running.py
+++ b/lab/running.py
@@ -75,7 +75,7 @@
         loop, task = asyncio.get_running_loop(), asyncio.ensure_future(play)
 
         def interrupt() -> None:
-            for signal_number in (signal.SIGINT, signal.SIGTERM):  # further signals are ignored
+            for signal_number in (signal.SIGINT, signal.SIGTERM):  # no second signal interrupts the cleanup
                 loop.add_signal_handler(signal_number, lambda: None)
             task.cancel()
 
--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -1,4 +1,4 @@
-"""The simulated fleet, and that load_balancer does not import the lab."""
+"""The fleet of a run, and that load_balancer does not import the lab."""
 
 from __future__ import annotations
 
