--- a/lab/model/__init__.py
+++ b/lab/model/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet as a discrete-event model in virtual time, of real Balancer instances; see README."""
+"""Discrete-event model of a fleet in virtual time, with real Balancer instances; see README."""
--- a/lab/model/clients.py
+++ b/lab/model/clients.py
@@ -1,4 +1,4 @@
-"""Clients: they send the workload's requests, wait, give up and retry."""
+"""Clients: send the workload's requests, wait for answers, disconnect and retry."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Clients:
-    """Requests on their way between clients and gateways."""
+    """All clients of a run."""
 
     def __init__(
         self,
@@ -43,12 +43,12 @@
             self._clock.call_at(arrival_us, self._send, workload_row, 0)
 
     def finish(self, request: GatewayRequest, end: RequestEnd, retry_after_us: int = 0) -> None:
-        """End a try; whether its client retries depends on the request's class.
+        """End a try, and schedule a retry if the request class and the remaining time allow one.
 
         Args:
             request: The try.
             end: How it ended.
-            retry_after_us: How long a refusal asks the client to stay away.
+            retry_after_us: Time for which a refusal asks the client to wait before a retry.
         """
         request.finished = True
         row, now_us = request.workload_row, self._clock.now_us
@@ -64,6 +64,7 @@
             self._clock.call_at(now_us + delay_us, self._send, row, request.try_number + 1)
 
     def _may_retry(self, request: GatewayRequest, end: RequestEnd, elapsed_us: int) -> bool:
+        """Return whether the client may send its request again without the risk of a second effect."""
         terms = request.request_class
         if end in NOT_EXECUTED or terms.effect is Effect.IDEMPOTENT:
             return True
@@ -71,7 +72,7 @@
         return deduplicated and elapsed_us < to_us(terms.window_s)
 
     def _send(self, row: int, try_number: int) -> None:
-        """Send a try to the gateway that the front layer chooses."""
+        """Send a try to the gateway that the ingress chooses."""
         workload, now_us = self._workload, self._clock.now_us
         request_class = self._traffic.classes[workload.request_class[row]]
         gateway = self._ingress.choose(workload.zone[row], workload.gateway_draws[row, try_number])
@@ -113,6 +114,7 @@
         )
 
     def _expire(self, gateway: ModelGateway, request: GatewayRequest) -> None:
+        """Report and end a try that has no final answer after its deadline."""
         if request.finished:
             return
         self._rules.report_overdue(request)
--- a/lab/model/congestion.py
+++ b/lab/model/congestion.py
@@ -1,4 +1,4 @@
-"""Endpoints that choke after a time with a long queue."""
+"""Congestion: an endpoint becomes slower after its queue has been long for some time."""
 
 from __future__ import annotations
 
@@ -9,26 +9,36 @@
 
 
 class CongestionState:
-    """Whether an endpoint chokes: it does after a time with a long queue, until it has rested."""
+    """Congestion of one endpoint, from a long queue until the endpoint has been idle long enough.
+
+    Attributes:
+        congested: Whether the endpoint is congested.
+        count: Number of times that it has become congested.
+    """
 
     def __init__(self, clock: Clock, terms: Congestion, cores: int, on_recovered: Callable[[], None]) -> None:
         self.congested = False
-        self.count = 0  # spells so far
+        self.count = 0
         self._clock = clock
         self._terms = terms
         self._cores = cores
         self._on_recovered = on_recovered
         self._epoch = 0
         self._long_queue_since_us: int | None = None
-        self._idle_since_us: int | None = None  # while it is choked
+        self._idle_since_us: int | None = None  # None unless congested and idle
 
     def reset(self) -> None:
-        """A new process has begun; what was scheduled for the last one is void."""
+        """Start anew for a new process; callbacks scheduled for the previous one have no effect."""
         self._epoch += 1
         self._clear()
 
     def update(self, queued: int, running: int) -> None:
-        """Begin, or end, the times after which it chokes or recovers."""
+        """Start or stop the timers that begin and end congestion.
+
+        Args:
+            queued: Number of queued jobs.
+            running: Number of jobs on a core.
+        """
         now_us = self._clock.now_us
         if queued <= self._terms.queued_per_core * self._cores:
             self._long_queue_since_us = None
--- a/lab/model/endpoint.py
+++ b/lab/model/endpoint.py
@@ -1,4 +1,4 @@
-"""Model endpoints as BRIEF and BENCH describe them: cores, a queue, cold start, connections."""
+"""Model endpoints: cores, a queue, a warm-up and connections, as the pages BRIEF and BENCH describe them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,28 @@
 
 
 class ModelEndpoint:
-    """One endpoint: its processes, one after the other, and their work."""
+    """One endpoint: its consecutive processes and the jobs of the current one.
+
+    Attributes:
+        index: Index in the fleet.
+        kind: Index of its machine type.
+        zone: Index of its zone.
+        rack: Index of its rack.
+        up: Whether a process is running.
+        silent: Whether the machine drops all packets.
+        draining: Whether it rejects requests before its stop.
+        crashed: Whether overload has crashed it; it then stays down.
+        started_us: Start of the current process; 0: before the run.
+        epoch: Number of processes that have ended.
+        slowdown: Factor by which a fault makes it slower.
+        connections: Number of open connections.
+        worked_us: Work done so far, on a core of speed 1.
+        on_crash: Is called with the overload that crashed it.
+        queue: Jobs waiting for a core, with the cancelled ones.
+        queued_count: Number of jobs waiting for a core, without the cancelled ones.
+        running: Jobs on a core.
+        blocked: Jobs waiting on other services, which use no core.
+    """
 
     def __init__(
         self,
@@ -36,8 +57,8 @@
         self.silent = False
         self.draining = False
         self.crashed = False
-        self.started_us = 0  # 0: long ago
-        self.epoch = 0  # processes that have ended
+        self.started_us = 0
+        self.epoch = 0
         self.slowdown = 1.0
         self.connections = 0
         self.worked_us = 0.0
@@ -52,7 +73,7 @@
 
     def _begin_process(self) -> None:
         self.queue: deque[Job] = deque()
-        self.queued_count = 0  # of the queue, without those that have been dropped
+        self.queued_count = 0
         self.running: dict[Job, None] = {}
         self.blocked: dict[Job, None] = {}
         self._congestion.reset()
@@ -60,17 +81,17 @@
 
     @property
     def congested(self) -> bool:
-        """Whether it works more slowly after a long queue."""
+        """Whether it is slower after a long queue."""
         return self._congestion.congested
 
     @property
     def congestion_count(self) -> int:
-        """How often it has choked."""
+        """Number of times that it has become congested."""
         return self._congestion.count
 
     @property
     def warm_share(self) -> float:
-        """The share of its capacity that it has: it rises evenly from the cold share to the whole."""
+        """Share of its capacity that it has now; rises linearly during the warm-up."""
         warm_up = self._terms.warm_up
         age_us = self._clock.now_us - self.started_us
         if not self.started_us or age_us >= to_us(warm_up.duration_s):
@@ -81,7 +102,7 @@
 
     @property
     def rate(self) -> float:
-        """Work that a core does in a unit of time."""
+        """Work that a core does per unit of time; 1 for a core of speed 1 that nothing slows down."""
         connection_factor = 1.0 - self._terms.connection_cost * min(
             1.0, self.connections / self._terms.max_connections
         )
@@ -90,7 +111,7 @@
 
     @property
     def has_free_core(self) -> bool:
-        """Whether a core and a slot are free."""
+        """Whether both a core and a slot are free."""
         working = len(self.running)
         return working < self._cores and working + len(self.blocked) < self._terms.slots
 
@@ -98,7 +119,7 @@
         """End the process.
 
         Args:
-            resets_connections: Its connections are reset; otherwise the machine is gone in silence.
+            resets_connections: Whether its connections are reset; otherwise the machine only stops answering.
         """
         self.up = False
         self.silent = not resets_connections
@@ -117,7 +138,7 @@
                 job.on_reset()
 
     def start(self) -> None:
-        """Begin a new process, cold; after a crash there is none."""
+        """Begin a new process with its initial capacity; do nothing after a crash."""
         if not self.crashed:
             self.up = True
             self.silent = False
@@ -125,7 +146,7 @@
             self._overload.clear()
 
     def accept(self, job: Job) -> None:
-        """Accept a request that has come in."""
+        """Execute, queue or reject a job that has arrived."""
         self._check_overload(job)
         if not self.up:
             job.on_reset()
@@ -141,7 +162,7 @@
             self._update_congestion()
 
     def cancel(self, job: Job) -> None:
-        """Cancel a job: a queued one is dropped, a running one stops where the scenario has it so."""
+        """Cancel a job: remove it from the queue, or stop it if it runs and the scenario allows that."""
         if job.state is JobState.QUEUED:
             self.queued_count -= 1
             job.state = JobState.ENDED
@@ -155,11 +176,11 @@
             job.state = JobState.ENDED
 
     def load_report(self) -> LoadReport:
-        """The report that goes with an answer."""
+        """Return the load report to send with an answer."""
         return self._reporter.report(self.queued_count)
 
     def completed_work_us(self, job: Job) -> float:
-        """Work that has gone into a running job, at the present rate."""
+        """Return the work done for a running job, computed with the present rate."""
         return min(job.total_us, (self._clock.now_us - job.started_us) * self.rate)
 
     def _run(self, job: Job) -> None:
@@ -180,7 +201,7 @@
 
     def _end_work(self, job: Job) -> None:
         if job.state is not JobState.RUNNING:
-            return  # dropped, or its process has ended
+            return  # cancelled, or its process has ended
         self.worked_us += job.total_us
         del self.running[job]
         job.state = JobState.BLOCKED
@@ -201,7 +222,7 @@
         self._congestion.update(self.queued_count, len(self.running))
 
     def _check_overload(self, job: Job) -> None:
-        """A cold endpoint that has been sent too much crashes, and stays down."""
+        """Count a job that has arrived during the warm-up, and crash if that was too much work."""
         warm_share = self.warm_share
         if warm_share >= 1.0 or not self.up:
             return
--- a/lab/model/engine.py
+++ b/lab/model/engine.py
@@ -1,4 +1,4 @@
-"""Virtual time: a queue of calls in whole microseconds; equal times run in the order of asking."""
+"""Virtual time in whole microseconds; calls that are due at the same time run in the order of scheduling."""
 
 from __future__ import annotations
 
@@ -6,11 +6,16 @@
 from heapq import heappop, heappush
 from typing import Any
 
-START_US = 100_000_000  # the clock's reading as a run begins
+START_US = 100_000_000  # time of the clock when a run begins
 
 
 class Clock:
-    """A clock that jumps from one scheduled call to the next."""
+    """A clock that advances from one scheduled call to the next.
+
+    Attributes:
+        now_us: Present time.
+        events: Number of calls made so far.
+    """
 
     def __init__(self) -> None:
         self.now_us = START_US
@@ -19,12 +24,12 @@
         self._sequence = 0
 
     def call_at(self, due_us: int, callback: Callable[..., None], *arguments: Any) -> None:
-        """Schedule a call; one whose time has passed is due now."""
+        """Schedule a call; a time in the past counts as the present time."""
         self._sequence += 1
         heappush(self._heap, (max(due_us, self.now_us), self._sequence, callback, arguments))
 
     def run(self, until_us: int) -> None:
-        """Make all calls that are due by a time, and leave the clock there."""
+        """Make all calls that are due by a time, and set the clock to it."""
         while self._heap and self._heap[0][0] <= until_us:
             self.now_us, _, callback, arguments = heappop(self._heap)
             self.events += 1
@@ -33,5 +38,5 @@
 
 
 def to_us(seconds: float) -> int:
-    """Seconds in whole microseconds."""
+    """Return seconds as whole microseconds."""
     return round(seconds * 1e6)
--- a/lab/model/errors.py
+++ b/lab/model/errors.py
@@ -6,8 +6,8 @@
 
 
 class UsageError(LoadBalancerError, ValueError):
-    """One line on what cannot be run, compared or drawn."""
+    """Something cannot be run, compared or drawn; the message is one line."""
 
 
 class ScenarioError(LoadBalancerError, ValueError):
-    """One line: the scenario's file, the key by its path, and what was expected there."""
+    """A scenario file is not valid; the message is one line with file, path of the key and expectation."""
--- a/lab/model/faults.py
+++ b/lab/model/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a scenario, scheduled before the run begins."""
+"""Faults of a scenario, scheduled before the run."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class FaultScheduler:
-    """Begins and ends faults at their times."""
+    """Schedules the begin and the end of faults."""
 
     def __init__(
         self,
@@ -53,7 +53,12 @@
         self._gateway_lifecycle = gateway_lifecycle
 
     def schedule(self, fault: AnyFault, rng: np.random.Generator) -> None:
-        """Schedule a fault; `rng` chooses whom it concerns."""
+        """Schedule a fault.
+
+        Args:
+            fault: The fault.
+            rng: Chooses the endpoints or gateways that it affects.
+        """
         match fault:
             case SlowEndpoints():
                 self._slow_down(fault, rng)
@@ -68,7 +73,7 @@
             case Partition() | PacketLoss() | DiscoveryOutage():
                 self._break_network(fault)
             case Burst() | TenantBurst():
-                pass  # the workload has them
+                pass  # part of the workload
             case _:
                 assert_never(fault)
 
@@ -136,13 +141,13 @@
 
 
 def fault_span(fault: AnyFault) -> tuple[int, int]:
-    """When a fault begins and ends."""
+    """Return the times at which a fault begins and ends."""
     begin_us = START_US + to_us(fault.start_s)
     return begin_us, begin_us + to_us(fault.duration_s)
 
 
 def choose_share(rng: np.random.Generator, count: int, share: float) -> list[int]:
-    """A part of the indexes below `count`, at least one where it is above zero, in random order."""
+    """Return a share of the indexes below `count` in random order, at least one unless the share is 0."""
     chosen = max(1, round(share * count)) if share else 0
     return [int(n) for n in rng.permutation(range(count))[:chosen]]
 
@@ -150,7 +155,7 @@
 def choose_waves(
     fault: RollingRelease | GatewayRestarts, rng: np.random.Generator, count: int
 ) -> Iterator[tuple[int, int]]:
-    """The indexes that a fault concerns, each with the time of its wave."""
+    """Yield the indexes that a fault affects, each with the time of its wave."""
     begin_us, _ = fault_span(fault)
     indexes = choose_share(rng, count, fault.affected_share)
     for position, index in enumerate(indexes):
--- a/lab/model/fleet.py
+++ b/lab/model/fleet.py
@@ -1,4 +1,4 @@
-"""The endpoints of a scenario: how many of each machine type, how fast, and where they stand."""
+"""The endpoints of a scenario, each with its machine type, speed, zone and rack."""
 
 from __future__ import annotations
 
@@ -12,7 +12,14 @@
 
 
 class EndpointFleet:
-    """All endpoints by index, with the ids under which discovery lists them."""
+    """All endpoints of a run.
+
+    Attributes:
+        zone_count: Number of zones.
+        ids: The id under which discovery lists each endpoint, by the endpoint's index.
+        index_of: The index of each endpoint, by its id.
+        endpoints: The endpoints by index.
+    """
 
     def __init__(self, clock: Clock, scenario: Scenario, seed: int) -> None:
         rng = stream(seed, "servers")
@@ -40,11 +47,11 @@
         ]
 
     def by_id(self, endpoint_id: int) -> ModelEndpoint:
-        """The endpoint that discovery lists under an id."""
+        """Return the endpoint that discovery lists under an id."""
         return self.endpoints[self.index_of[endpoint_id]]
 
     def entries(self) -> list[Endpoint]:
-        """The endpoint list of a fleet that is all up."""
+        """Return the endpoint list while all endpoints are up."""
         return [
             Endpoint(endpoint_id, zone=endpoint.zone, group=endpoint.rack, kind=endpoint.kind)
             for endpoint_id, endpoint in zip(self.ids, self.endpoints, strict=True)
--- a/lab/model/gateway_settings.py
+++ b/lab/model/gateway_settings.py
@@ -18,7 +18,7 @@
 
 
 def make_settings(scenario: Scenario, gateway_index: int) -> Settings:
-    """The settings of the gateway of an index."""
+    """Return the settings of the gateway with an index."""
     warm_up, objective, traffic = scenario.fleet.warm_up, scenario.objective, scenario.traffic
     return Settings(
         tuple(_request_class(traffic_class) for traffic_class in traffic.classes),
--- a/lab/model/ingress.py
+++ b/lab/model/ingress.py
@@ -1,4 +1,4 @@
-"""The front layer: it spreads clients over the gateways of their zone and learns late of a dead one."""
+"""The ingress: spreads clients over the gateways of their zone, and detects a dead gateway with a delay."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Ingress:
-    """Which gateways it believes to be up."""
+    """Chooses a gateway for each request among those that it takes to be up."""
 
     def __init__(self, clock: Clock, scenario: Scenario, gateways: Sequence[ModelGateway], seed: int) -> None:
         rng, delay_range_s = stream(seed, "front layer"), scenario.network.gateway_failure_detection_s
@@ -25,20 +25,23 @@
         self._gateways_by_zone: list[list[ModelGateway]] | None = None
 
     def report_down(self, gateway: ModelGateway) -> None:
-        """A gateway has died; that is noticed after a time."""
+        """Report a gateway's end, which takes effect after the detection time."""
         self._down_count += 1
         self._detected_down_us[gateway.index] = self._clock.now_us + self._detection_us[gateway.index]
 
     def report_up(self) -> None:
-        """A gateway is back."""
+        """Report that a gateway is up again."""
         self._down_count -= 1
 
     def choose(self, zone: int, draw: float) -> ModelGateway | None:
-        """The gateway for a client of a zone, up or not; None where all are known to be down.
+        """Return a gateway for a client, or None if all are known to be down.
+
+        The gateway may be down without having been detected. While a gateway is down, other zones are used if
+        the client's zone has no gateway that is taken to be up.
 
         Args:
-            zone: The client's.
-            draw: At random from [0, 1).
+            zone: Index of the client's zone.
+            draw: Random number in [0, 1).
         """
         if self._gateways_by_zone is None:
             self._gateways_by_zone = [
--- a/lab/model/lifecycle.py
+++ b/lab/model/lifecycle.py
@@ -1,4 +1,4 @@
-"""Processes that stop and start, and who is notified of it."""
+"""Starts and stops of endpoints and gateways, with the reports to discovery and to the ingress."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class EndpointLifecycle:
-    """Endpoints that drain, stop, start and crash."""
+    """Drains, stops and starts endpoints, and handles their crashes."""
 
     def __init__(
         self,
@@ -39,13 +39,18 @@
             endpoint.on_crash = partial(self._handle_crash, endpoint)
 
     def drain(self, endpoint: ModelEndpoint) -> None:
-        """The endpoint rejects requests from now on, and discovery learns of it."""
+        """Let an endpoint reject requests, and report it as draining."""
         if endpoint.up:
             endpoint.draining = True
             self._report(endpoint, EndpointStatus.DRAINING)
 
     def stop(self, endpoint: ModelEndpoint, resets_connections: bool) -> None:
-        """The process ends; with `resets_connections`, the gateways see its connections close."""
+        """End an endpoint's process, and report it as gone.
+
+        Args:
+            endpoint: The endpoint.
+            resets_connections: Whether its connections are reset, so that gateways drop their idle ones.
+        """
         if endpoint.up:
             if resets_connections:
                 self._drop_idle_connections(endpoint)
@@ -53,7 +58,7 @@
             self._report(endpoint, EndpointStatus.GONE)
 
     def start(self, endpoint: ModelEndpoint) -> None:
-        """A new process begins."""
+        """Start a new process unless one is up or has crashed, and report it as ready."""
         if not endpoint.crashed and not endpoint.up:
             endpoint.start()
             self._report(endpoint, EndpointStatus.READY)
@@ -73,7 +78,7 @@
 
 
 class GatewayLifecycle:
-    """Gateways that are killed and come back."""
+    """Kills gateways and starts them again."""
 
     def __init__(self, ingress: Ingress, attempts: Attempts, clients: Clients) -> None:
         self._ingress = ingress
@@ -81,7 +86,7 @@
         self._clients = clients
 
     def kill(self, gateway: ModelGateway) -> None:
-        """The process ends, and with it all that it held."""
+        """End a gateway's process, and with it its connections, attempts and requests."""
         if not gateway.up:
             return
         self._ingress.report_down(gateway)
@@ -91,7 +96,7 @@
                 self._clients.finish(request, RequestEnd.UNREACHABLE)
 
     def start(self, gateway: ModelGateway) -> None:
-        """A new process begins."""
+        """Start a new process unless one is up."""
         if not gateway.up:
             self._ingress.report_up()
             gateway.start()
--- a/lab/model/load_report.py
+++ b/lab/model/load_report.py
@@ -5,9 +5,9 @@
 from lab.model.engine import Clock
 from lab.model.job import LoadReport
 
-SERVICE_TIME_SMOOTHING = 0.2  # of the newest service time in the reported one
-ERROR_RATE_SMOOTHING = 0.5  # of the newest gap between errors in the reported rate
-MIN_ERROR_GAP_S = 0.05
+SERVICE_TIME_SMOOTHING = 0.2  # weight of the newest service time in the reported one
+ERROR_RATE_SMOOTHING = 0.5  # weight of the newest error gap in the reported error rate
+MIN_ERROR_GAP_S = 0.05  # shorter gaps between errors count as this long
 ERROR_EXPIRY_S = 2.0  # a success this long after the last error reports a rate of 0
 
 
@@ -24,7 +24,7 @@
         self._reported_us = -(10**9)
 
     def record(self, service_ms: float, failed: bool) -> None:
-        """Count an answer."""
+        """Count an answer and its service time."""
         smoothing = SERVICE_TIME_SMOOTHING if self._service_ms else 1.0
         self._service_ms += smoothing * (service_ms - self._service_ms)
         gap_s = (self._clock.now_us - self._last_error_us) / 1e6
@@ -36,7 +36,7 @@
             self._errors_per_s = 0.0
 
     def report(self, queued: int) -> LoadReport:
-        """The report that goes with an answer, made anew once it is too old."""
+        """Return the report to send with an answer, computed again if the last one is too old."""
         if self._clock.now_us - self._reported_us >= self._max_age_us:
             self._reported_us = self._clock.now_us
             self._report = (
--- a/lab/model/network.py
+++ b/lab/model/network.py
@@ -1,4 +1,4 @@
-"""The network between zones: one-way delay, partitions, packet loss."""
+"""The network between zones: one-way delays, partitions and packet loss."""
 
 from __future__ import annotations
 
@@ -8,7 +8,14 @@
 
 
 class Network:
-    """Delays drawn once for each pair of zones, and the faults of the moment."""
+    """Delays between zones, drawn once for each pair, and the current faults.
+
+    Attributes:
+        region_of: Index of each zone's region, by the zone's index.
+        one_way_us: One-way delay between two zones, by their indexes.
+        partitions: Sets of regions that are cut off from all others.
+        loss: Share of requests, and of answers, that are lost.
+    """
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         rng, terms = stream(seed, "network"), scenario.network
@@ -26,20 +33,20 @@
                 self.one_way_us[zone][other_zone] = self.one_way_us[other_zone][zone] = max(
                     1, round(rng.uniform(*delay_range_ms) * 1e3)
                 )
-        self.partitions: list[frozenset[int]] = []  # sets of regions cut off from all others
+        self.partitions: list[frozenset[int]] = []
         self.loss = terms.loss
 
     def reaches(self, source: int, target: int) -> bool:
-        """Whether packets pass between two zones."""
+        """Return whether packets pass between two zones."""
         source_region, target_region = self.region_of[source], self.region_of[target]
         return all(
             (source_region in partition) == (target_region in partition) for partition in self.partitions
         )
 
     def reaches_endpoint(self, zone: int, endpoint: ModelEndpoint) -> bool:
-        """Whether packets pass between a zone and an endpoint's machine, whatever state its process is in."""
+        """Return whether packets pass between a zone and an endpoint's machine, with or without a process."""
         return not endpoint.silent and self.reaches(zone, endpoint.zone)
 
     def delay_us(self, zone: int, endpoint: ModelEndpoint) -> int:
-        """One way between a zone and an endpoint."""
+        """Return the one-way delay between a zone and an endpoint."""
         return self.one_way_us[zone][endpoint.zone]
--- a/lab/model/overload.py
+++ b/lab/model/overload.py
@@ -1,4 +1,4 @@
-"""How much work a cold endpoint stands."""
+"""Overload of an endpoint during its warm-up."""
 
 from __future__ import annotations
 
@@ -12,14 +12,19 @@
 
 
 class Overload(NamedTuple):
-    """Too much work sent to a cold endpoint."""
+    """An overload that crashes an endpoint during its warm-up.
 
-    notified_share: float  # from gateways that had been notified of its start
-    gateway_index: int  # that sent most
+    Attributes:
+        notified_share: Share of the work that came from gateways that had been notified of the start.
+        gateway_index: Index of the gateway that sent most of that work.
+    """
+
+    notified_share: float
+    gateway_index: int
 
 
 class OverloadWindow:
-    """All work that has reached a cold endpoint within the time that it stands, also what it rejects."""
+    """The jobs that reached an endpoint within `overload_window_s` of its warm-up, with the rejected ones."""
 
     def __init__(self, terms: WarmUp, mean_work_us: float, cores: int, speed: float) -> None:
         self._cores = cores
@@ -30,19 +35,20 @@
         self._jobs: deque[tuple[int, Job]] = deque()
 
     def clear(self) -> None:
-        """A new process has begun."""
+        """Forget all jobs, for a new process."""
         self._jobs.clear()
 
     def add(self, job: Job, now_us: int, warm_share: float) -> Overload | None:
-        """Count a job; returns what crashes the endpoint, or None while it stands.
+        """Count a job, and return the overload that crashes the endpoint, or None.
 
-        It stands N + 2 x root of N + 2 requests of mean work in the window, N being what is allowed then: the
-        slack for chance is that of STANDING.
+        If the present capacity times `overload_multiple` allows N requests of mean work in the window, an
+        endpoint crashes above N + 2 sqrt(N) + 2. The slack allows for random arrivals; the operators' page
+        STANDING has the same.
 
         Args:
-            job: What has come in.
-            now_us: When.
-            warm_share: Of its capacity that the endpoint has.
+            job: The job that has arrived.
+            now_us: Time of its arrival.
+            warm_share: Share of its capacity that the endpoint has now.
         """
         self._jobs.append((now_us, job))
         while self._jobs[0][0] <= now_us - self._window_us:
--- a/lab/model/registry.py
+++ b/lab/model/registry.py
@@ -1,4 +1,4 @@
-"""Discovery: it learns of changes late, serves calls in turn, and can be down."""
+"""Service discovery: learns of changes with a delay, serves calls one at a time, and can be down."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from load_balancer.decisions.endpoint import Endpoint, EndpointStatus, ListKind
 from load_balancer.decisions.events import EndpointListReceived
 
-FAILURE_DELAY_US = 500_000  # a call to discovery while it is down fails after this
-DISCOVERY_ZONE = 0  # that it stands in
-LINE_COST_SHARE = 0.001  # of a call's cost, for each line of its answer
-FAILED_CALL_FACTOR = 4  # of the time after which a gateway counts as notified, after a failed call
+FAILURE_DELAY_US = 500_000  # time after which a call to an unreachable discovery fails
+DISCOVERY_ZONE = 0  # index of the zone that discovery runs in
+LINE_COST_SHARE = 0.001  # cost of an entry in an answer, as a share of a call's cost
+FAILED_CALL_FACTOR = 4  # a gateway counts as notified this many times later after a failed call
 
 
 class Change(NamedTuple):
@@ -29,14 +29,19 @@
 
 
 class AssumedNotice(NamedTuple):
-    """What a gateway counts as notified of, though it has not asked."""
+    """A change that a gateway counts as notified of, although it has not polled discovery."""
 
     notified_us: int
     entry: Endpoint
 
 
 class Registry:
-    """The endpoint list, its changes, and the calls of the gateways."""
+    """The endpoint list, its changes, and the calls of the gateways.
+
+    Attributes:
+        sent_entries: Number of list entries sent to gateways.
+        call_count: Number of calls by gateways.
+    """
 
     def __init__(
         self,
@@ -53,14 +58,14 @@
         self._network = network
         self._gateways = gateways
         self._delay_rngs = [stream(seed, f"discovery {n}") for n in range(len(entries))]
-        self._learned_us = [0] * len(entries)  # changes of one endpoint come in order
+        self._learned_us = [0] * len(entries)  # keeps the changes of one endpoint in order
         self._entries = {entry.id: entry for entry in entries}
         self._changes: list[Change] = []
         self._up = True
         self._busy_until_us = 0
 
     def report_status(self, endpoint: ModelEndpoint, endpoint_id: int, status: EndpointStatus) -> None:
-        """An endpoint's status has changed; discovery learns of it seconds later."""
+        """Report a change of an endpoint's status, of which discovery learns after the delay `delay_s`."""
         index = endpoint.index
         entry = replace(self._entries[endpoint_id], status=status, started_us=endpoint.started_us)
         due_us = self._clock.now_us + to_us(self._delay_rngs[index].uniform(*self._terms.delay_s))
@@ -73,10 +78,10 @@
         self.resume_watches()
 
     def assumed_notice(self, gateway: ModelGateway, endpoint_id: int) -> AssumedNotice | None:
-        """What a gateway that neither watches nor asks counts as notified of, and since when.
+        """Return the change that a gateway counts as notified of, or None.
 
-        That is what was listed `max_poll_interval_s` ago, four times as long after a failed call. What it has
-        really received goes before.
+        A gateway that neither watches nor polls counts as notified of what was listed `max_poll_interval_s`
+        ago, or four times that long ago after a failed call. Changes that it has received are not considered.
         """
         factor = FAILED_CALL_FACTOR if gateway.call_failed else 1
         max_interval_us = to_us(self._terms.max_poll_interval_s) * factor
@@ -89,7 +94,7 @@
         return None
 
     def call(self, gateway: ModelGateway, watch: bool) -> None:
-        """Serve a call of a gateway, in turn; one that would wait too long fails."""
+        """Serve a gateway's call after the earlier ones; a call that would wait too long fails."""
         self.call_count += 1
         now_us, epoch = self._clock.now_us, gateway.epoch
         gateway.last_call_us = now_us
@@ -106,17 +111,17 @@
             self._clock.call_at(self._busy_until_us, self._answer, gateway, epoch, watch)
 
     def stop(self) -> None:
-        """Serve nothing until it is started again."""
+        """End all watches, and serve nothing until the next start."""
         self._up = False
         self.break_watches()
 
     def start(self) -> None:
-        """Serve again."""
+        """Serve calls and watches again."""
         self._up = True
         self.resume_watches()
 
     def break_watches(self) -> None:
-        """End the watches of gateways that cannot be reached any more."""
+        """End the watches of gateways that discovery cannot reach; pushed lists are only delayed."""
         for gateway in self._gateways:
             reached = self._is_reached_by(gateway)
             if gateway.up and gateway.watching and not self._terms.pushed and not reached:
@@ -125,7 +130,10 @@
                 self._fail(gateway, gateway.epoch)
 
     def resume_watches(self) -> None:
-        """Send every watching gateway what it has missed, also after an outage where lists are pushed."""
+        """Send every watching gateway the changes that it has missed.
+
+        Where lists are pushed, an outage does not end the watches, so that their changes are sent after it.
+        """
         for gateway in self._gateways:
             if gateway.up and gateway.watching:
                 self._send_changes(gateway)
--- a/lab/model/scenario_files.py
+++ b/lab/model/scenario_files.py
@@ -1,4 +1,4 @@
-"""Scenario files in TOML: found, read and checked, with errors that name the key."""
+"""Find, read and check scenario files in TOML; errors name the key."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 FOLDER = Path(__file__).parent.parent / "scenarios"
 MIN_SECONDS = 10.0
-SHARES_TOLERANCE = 0.005  # for shares that are rounded in the file
+SHARES_TOLERANCE = 0.005  # allows for shares that are rounded in the file
 SECTIONS: dict[str, type[Section]] = {
     "": Scenario,
     "fleet": Fleet,
@@ -55,16 +55,16 @@
 
 
 def find(name: str) -> Path:
-    """A path, or the name of one of the files in lab/scenarios."""
+    """Return the path that `name` is, or that of the file of this name in lab/scenarios."""
     path = Path(name)
     return path if path.suffix or path.exists() else FOLDER / f"{name}.toml"
 
 
 def load(path: Path) -> Scenario:
-    """Read and check a file.
+    """Read and check a scenario file.
 
     Raises:
-        ScenarioError: It cannot be read, or is no scenario.
+        ScenarioError: The file cannot be read or is not a valid scenario.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -76,10 +76,14 @@
 
 
 def parse(text: str, name: str) -> Scenario:
-    """The scenario in a TOML text.
+    """Return the scenario in a TOML text.
+
+    Args:
+        text: Content of the file.
+        name: Name of the file, for errors.
 
     Raises:
-        ScenarioError: With `name`, the key's path and what was expected.
+        ScenarioError: The text is not a valid scenario; names the file, the key's path and what was expected.
     """
     try:
         raw = tomllib.loads(text)
@@ -96,7 +100,7 @@
 
 
 def _expected_keys(raw: dict[str, Any], path: str) -> list[str]:
-    """The keys that are expected in the section at a path."""
+    """Return the keys that the section at a path may have."""
     section = SECTIONS.get(re.sub(r"\[\d+\]", "", path))
     if section_match := re.fullmatch(r"troubles\[(\d+)\]", path):
         section = FAULT_KINDS.get(raw["troubles"][int(section_match[1])].get("kind"))
@@ -104,7 +108,7 @@
 
 
 def _describe(raw: dict[str, Any], error: msgspec.ValidationError) -> str:
-    """The path of a key and what was expected of it, from msgspec's message."""
+    """Return the path of a key and what was expected there, from msgspec's error."""
     reason, _, path = str(error).partition(" - at `")
     path = path.rstrip("`").removeprefix("$").removeprefix(".").replace("[...]", "")
     name = re.search("`(.*?)`", reason)
@@ -122,6 +126,7 @@
 
 
 def _check_finite(value: Any, path: str) -> None:
+    """Raise a ScenarioError if a number at or below a path is infinite or not a number."""
     if isinstance(value, dict):
         for key, inner in value.items():
             _check_finite(inner, f"{path}.{key}" if path else key)
@@ -133,7 +138,7 @@
 
 
 def _check_pairs(value: Any, path: str) -> None:
-    """Each pair [least, most] is in order."""
+    """Raise a ScenarioError if a pair [least, most] at or below a path is in the wrong order."""
     if isinstance(value, msgspec.Struct):
         for name, key in zip(value.__struct_fields__, value.__struct_encode_fields__, strict=True):
             _check_pairs(getattr(value, name), f"{path}.{key}" if path else key)
@@ -147,7 +152,7 @@
 
 
 def _check(scenario: Scenario) -> None:
-    """Check what no single value shows."""
+    """Raise a ScenarioError for values that contradict each other."""
     _check_pairs(scenario, "")
     sections: tuple[tuple[str, tuple[MachineType | TrafficClass | TrafficTenant, ...]], ...] = (
         ("fleet.machines", scenario.fleet.machines),
@@ -166,6 +171,7 @@
 
 
 def _check_fault(scenario: Scenario, fault: Fault, path: str) -> None:
+    """Raise a ScenarioError if a fault begins too late or names an unknown zone, tenant or region."""
     if fault.start_s >= scenario.seconds:
         expected = f"expected less than seconds, {scenario.seconds}, got {fault.start_s}"
         raise ScenarioError(f"{path}.at_s: {expected}")
--- a/lab/model/simulation.py
+++ b/lab/model/simulation.py
@@ -1,4 +1,4 @@
-"""One run of a scenario: gateways execute what their policy decides, in its network and fleet."""
+"""One run of a scenario: connects the parts of the model and runs them in virtual time."""
 
 from __future__ import annotations
 
@@ -27,11 +27,23 @@
 from load_balancer.decisions.endpoint import Endpoint
 
 SWEEP_INTERVAL_US = 1_000_000
-EXTRA_RUN_S = 3.0  # that a run goes on after the last deadline
+EXTRA_RUN_S = 3.0  # time that a run continues after the last deadline
 
 
 class Simulation:
-    """Puts the parts of the model together and plays them."""
+    """One run of a scenario with one policy and one seed.
+
+    Attributes:
+        scenario: The scenario.
+        clock: Virtual time.
+        workload: All requests, drawn from the seed.
+        record: How each request ended, and the costs.
+        samples: State of endpoints and gateways, sampled once a second.
+        fleet: The endpoints.
+        rules: Checks of the rules, with the violations.
+        gateways: The gateways by index.
+        registry: Service discovery.
+    """
 
     def __init__(self, scenario: Scenario, create_policy: CreatePolicy, seed: int) -> None:
         self.scenario = scenario
@@ -41,7 +53,9 @@
         self.samples = Samples()
         self.fleet = EndpointFleet(self.clock, scenario, seed)
         self.rules = Rules(self.clock, make_settings(scenario, 0).drain_grace_us)
-        self.gateways: list[ModelGateway] = []  # the parts below hold this list
+        self.gateways: list[
+            ModelGateway
+        ] = []  # filled by _start_gateways; several objects below share this list
         self._network = Network(scenario, seed)
         entries = self.fleet.entries()
         self.registry = Registry(self.clock, scenario.discovery, self._network, self.gateways, entries, seed)
@@ -72,7 +86,7 @@
         self.clock.call_at(START_US + SWEEP_INTERVAL_US, self._sweep)
 
     def run(self) -> None:
-        """Run until the last request has ended."""
+        """Run the scenario until all requests have ended."""
         max_timeout_s = max(c.timeout_ms for c in self.scenario.traffic.classes) / 1e3
         self.clock.run(START_US + to_us(self.scenario.seconds + max_timeout_s + EXTRA_RUN_S))
 
@@ -122,7 +136,7 @@
             scheduler.schedule(fault, stream(seed, f"trouble {index}"))
 
     def _sweep(self) -> None:
-        """Once a second: close old idle connections, count the open ones, and take a sample."""
+        """Close expired idle connections, count the open ones and take a sample; repeat every second."""
         now_us = self.clock.now_us
         for gateway in self.gateways:
             gateway.idle.close_older(now_us - to_us(self.scenario.fleet.keepalive_s))
--- a/lab/model/workload.py
+++ b/lab/model/workload.py
@@ -1,4 +1,4 @@
-"""The workload: what clients ask and when, drawn before the run so that all policies meet the same."""
+"""The workload: all requests of a run, drawn before it so that every policy receives the same ones."""
 
 from __future__ import annotations
 
@@ -10,33 +10,54 @@
 from lab.model.scenario import Burst, Scenario, TenantBurst
 from lab.schedule import Floats, Ints, arrivals, stream
 
-DISCONNECT_SHARES = (0.2, 0.6)  # of its patience after which an impatient client disconnects
-LOSS_DRAWS_PER_REQUEST = 8  # for which loss is drawn, before the draws come round again
+DISCONNECT_SHARES = (0.2, 0.6)  # range of the share of a try's timeout after which a client disconnects early
+LOSS_DRAWS_PER_REQUEST = 8  # attempts of a request with their own draws; later ones use them again
 
 
 @dataclass(frozen=True, slots=True)
 class Workload:
-    """All requests in order of time: one row a request, and a column a try where there are two axes."""
+    """All requests in order of arrival.
+
+    There is one row for each request; arrays with two axes have a column for each try, `loss_draws` two for
+    each attempt.
+
+    Attributes:
+        times_us: Arrival of the first try.
+        request_class: Index of the request class.
+        tenant: Index of the tenant.
+        zone: Index of the client's zone.
+        work_us: Work on a core of speed 1.
+        hint_us: Work that the client states, with an error.
+        blocked_us: Time for which the request waits on other services.
+        over_quota: Whether the request is over its tenant's quota.
+        weight: Weight in the score.
+        fails: Whether its execution ends in an error.
+        try_timeout_share: Timeout of a try, as a share of the class's timeout.
+        backoff_us: Time between the end of a try and the next one.
+        gateway_draws: Random number in [0, 1) by which the ingress chooses a gateway.
+        disconnect_shares: Share of a try's timeout after which the client disconnects; 1: it does not.
+        loss_draws: Random numbers in [0, 1) that decide whether a request or its answer is lost.
+    """
 
     times_us: list[int]
     request_class: list[int]
     tenant: list[int]
-    zone: list[int]  # of the client
+    zone: list[int]
     work_us: list[float]
     hint_us: list[int]
     blocked_us: list[int]
     over_quota: list[bool]
     weight: list[float]
     fails: list[bool]
-    try_timeout_share: Floats  # share of the timeout
+    try_timeout_share: Floats
     backoff_us: Floats
     gateway_draws: Floats
-    disconnect_shares: Floats  # share of its patience after which a client disconnects; 1: it stays
+    disconnect_shares: Floats
     loss_draws: Floats
 
 
 def draw_arrivals(scenario: Scenario, seed: int, tenant_index: int) -> Floats:
-    """One tenant's arrivals in seconds: a Poisson process whose rate the faults raise, by thinning."""
+    """Draw a tenant's arrival times in seconds: a Poisson process with bursts, by thinning."""
     traffic = scenario.traffic
     tenant = traffic.tenants[tenant_index]
     bursts: list[Burst | TenantBurst] = [f for f in scenario.faults if isinstance(f, Burst)]
@@ -52,7 +73,7 @@
 
 
 def find_over_quota(times: Floats, quota_per_s: float) -> list[bool]:
-    """Which of a tenant's requests are over its quota: a token bucket of one second's quota."""
+    """Return whether each request is over its tenant's quota, by a token bucket of one second's quota."""
     tokens, previous, over = quota_per_s, 0.0, []
     for now in times.tolist():
         tokens = min(quota_per_s, tokens + (now - previous) * quota_per_s)
@@ -63,7 +84,7 @@
 
 
 def draw_workload(scenario: Scenario, seed: int) -> Workload:
-    """Draw all requests; each concern has a random stream of its own."""
+    """Draw all requests; each property has its own random stream, so that one does not change the others."""
     traffic, clients = scenario.traffic, scenario.clients
     times_by_tenant = [draw_arrivals(scenario, seed, n) for n in range(len(traffic.tenants))]
     over = [
@@ -84,7 +105,7 @@
     blocked_us = (request_terms[:, 2] + blocked_draws * (request_terms[:, 3] - request_terms[:, 2])) * 1e3
     hint_us = work_us * np.exp(stream(seed, "hints").normal(0.0, traffic.hint_error, count))
     weight = request_terms[:, 4] * work_us * np.where(over_quota, traffic.over_quota_weight_share, 1.0)
-    gateway_zones = min(len(scenario.zones), scenario.fleet.gateways)  # zones with a gateway
+    gateway_zones = min(len(scenario.zones), scenario.fleet.gateways)  # number of zones with a gateway
     return Workload(
         times_us=(START_US + times[order] * 1e6).astype(np.int64).tolist(),
         request_class=request_class.tolist(),
--- a/tests/lab/model/support.py
+++ b/tests/lab/model/support.py
@@ -1,4 +1,4 @@
-"""Scenarios and runs that the model's tests share."""
+"""Scenarios and runs for the tests of the model."""
 
 from __future__ import annotations
 
@@ -35,24 +35,24 @@
 
 
 def parse_tiny(more: str = "") -> Scenario:
-    """The tiny scenario with more text."""
+    """Parse the scenario TINY with more text at its end."""
     return scenario_files.parse(TINY + more, "tiny.toml")
 
 
 def simulate(scenario: Scenario, create_policy: CreatePolicy, seed: int = 1) -> Simulation:
-    """A run that has been played."""
+    """Run a scenario and return the finished simulation."""
     simulation = Simulation(scenario, create_policy, seed)
     simulation.run()
     return simulation
 
 
 def violated_rules(simulation: Simulation) -> set[int]:
-    """The numbers of the rules that a run has broken."""
+    """Return the numbers of the rules that a run has violated."""
     return {broken["rule"] for broken in simulation.rules.named}
 
 
 def call_lab(*arguments: str) -> int:
-    """Run a lab command in this process; returns its exit code."""
+    """Run a lab command in this process and return its exit code."""
     with pytest.raises(SystemExit) as ended:
         lab.main(list(arguments))
     return int(ended.value.code or 0)
--- a/tests/lab/model/test_endpoint.py
+++ b/tests/lab/model/test_endpoint.py
@@ -1,4 +1,4 @@
-"""Model endpoints: cores, queue, choking, cold start, cancelled work."""
+"""Model endpoints: cores, queue, congestion, warm-up, crashes and cancelled jobs."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class EndpointHarness:
-    """One server, and what it answers."""
+    """An endpoint with its clock, and the outcomes of its jobs."""
 
     def __init__(self, fleet: str = "") -> None:
         fleet = f"[fleet]\n{fleet}\n"
@@ -128,17 +128,20 @@
     assert crashes == [(1.0, 0)]
     assert not harness.endpoint.up
     harness.endpoint.start()
-    assert not harness.endpoint.up, "it stays down"
+    assert not harness.endpoint.up, "a crashed endpoint must stay down"
 
 
-@given(st.lists(st.tuples(st.sampled_from(["take", "drop", "run", "stop"]), st.integers(1, 60)), max_size=80))
+@given(
+    st.lists(st.tuples(st.sampled_from(["accept", "cancel", "run", "stop"]), st.integers(1, 60)), max_size=80)
+)
 def test_every_job_ends_at_most_once(steps: list[tuple[str, int]]) -> None:
+    """Cancellations and process ends must not leave a callback that ends or counts a job again."""
     harness = EndpointHarness("waiting = 5")
     jobs: list[Job] = []
     for step, argument in steps:
-        if step == "take":
+        if step == "accept":
             jobs += harness.accept(argument % 7)
-        elif step == "drop" and jobs:
+        elif step == "cancel" and jobs:
             harness.endpoint.cancel(jobs.pop(argument % len(jobs)))
         elif step == "run":
             harness.run(argument / 1e3)
--- a/tests/lab/model/test_faults.py
+++ b/tests/lab/model/test_faults.py
@@ -1,4 +1,4 @@
-"""Faults: discovery, gateways, messages between them, attempts."""
+"""Faults of discovery, gateways, peer messages and attempts."""
 
 from __future__ import annotations
 
@@ -22,6 +22,7 @@
 
 
 def test_a_watch_breaks_while_discovery_is_down_and_changes_arrive_afterwards() -> None:
+    """A gateway must receive an error when its watch breaks, and the missed changes after the outage."""
     received: list[tuple[float, ListKind]] = []
 
     def create_policy(settings: Settings, seed: int) -> Policy:
@@ -48,6 +49,7 @@
 
 
 def test_the_ingress_sends_to_a_dead_gateway_until_it_detects_the_failure() -> None:
+    """Requests are lost for as long as detection takes, and hardly any if it is immediate."""
     restarts = '\n[[troubles]]\nkind = "gateways"\nat_s = 3.0\nfor_s = 0.0\npart = 0.5\ndown_s = 6.0\n'
     no_retries = "\n[clients]\nretries = 0\n"
     unreachable = [
@@ -60,7 +62,7 @@
         for detection_s in (0.0, 3.0)
     ]
     assert unreachable[0]["unreachable"] < 0.02
-    assert 0.10 < unreachable[1]["unreachable"] < 0.25, "half of three seconds in ten"
+    assert 0.10 < unreachable[1]["unreachable"] < 0.25, "half of the requests of three seconds in ten"
 
 
 def test_peer_messages_are_delayed_and_do_not_cross_a_partition() -> None:
@@ -93,6 +95,7 @@
     ],
 )
 def test_each_fault_ends_attempts_with_its_outcome(fault: str, outcome: Outcome) -> None:
+    """The outcome must occur while the fault lasts; before it, attempts end with an answer."""
     outcomes: list[tuple[int, Outcome]] = []
 
     class RecordingPolicy(ReferencePolicy):
--- a/tests/lab/model/test_scenario_files.py
+++ b/tests/lab/model/test_scenario_files.py
@@ -1,4 +1,4 @@
-"""Scenario files: errors name the key."""
+"""Errors in scenario files name the key and what was expected."""
 
 from __future__ import annotations
 
@@ -39,9 +39,9 @@
 def test_a_scenario_error_names_the_key_and_what_was_expected(
     old: str, new: str, expected: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    path = tmp_path / "day.toml"
+    path = tmp_path / "scenario.toml"
     assert old in TINY + RELEASE
     path.write_text((TINY + RELEASE).replace(old, new))
     assert call_lab("run", str(path), "--out", str(tmp_path / "out")) == 2
     (line,) = capsys.readouterr().err.splitlines()
-    assert line.startswith(f"lab: day.toml: {expected}")
+    assert line.startswith(f"lab: scenario.toml: {expected}")
--- a/tests/lab/model/test_simulation.py
+++ b/tests/lab/model/test_simulation.py
@@ -1,4 +1,4 @@
-"""Whole runs: each scenario plays, and equal seeds give equal runs."""
+"""Whole runs: each scenario file runs, and equal seeds give equal results."""
 
 from __future__ import annotations
 
@@ -37,6 +37,8 @@
 
 
 def test_all_policies_receive_the_same_requests() -> None:
+    """First tries must not depend on the policy; otherwise results could not be compared in pairs by seed."""
+
     def recorded(policy: str) -> list[tuple[object, ...]]:
         arrivals: list[tuple[object, ...]] = []
 
--- a/tests/lab/model/test_workload.py
+++ b/tests/lab/model/test_workload.py
@@ -1,4 +1,4 @@
-"""The workload: draws by concern, quotas."""
+"""The workload: independent random streams, and quotas."""
 
 from __future__ import annotations
 
@@ -10,6 +10,7 @@
 
 
 def test_more_retries_do_not_change_arrival_times_or_work() -> None:
+    """Drawing more numbers for one property must not shift the random streams of the others."""
     one_retry, five_retries = (
         simulate(parse_tiny(text), ReferencePolicy).workload for text in ("", "[clients]\nretries = 5\n")
     )
