--- a/lab/model/lifecycle.py
+++ b/lab/model/lifecycle.py
@@ -58,7 +58,7 @@
             self._report(endpoint, EndpointStatus.GONE)
 
     def start(self, endpoint: ModelEndpoint) -> None:
-        """Start a new process unless one is up or has crashed, and report it as ready."""
+        """Start a new process unless one is up or the endpoint has crashed, and report it as ready."""
         if not endpoint.crashed and not endpoint.up:
             endpoint.start()
             self._report(endpoint, EndpointStatus.READY)
--- a/lab/model/registry.py
+++ b/lab/model/registry.py
@@ -18,7 +18,7 @@
 FAILURE_DELAY_US = 500_000  # time after which a call to an unreachable discovery fails
 DISCOVERY_ZONE = 0  # index of the zone that discovery runs in
 LINE_COST_SHARE = 0.001  # cost of an entry in an answer, as a share of a call's cost
-FAILED_CALL_FACTOR = 4  # a gateway counts as notified this many times later after a failed call
+FAILED_CALL_FACTOR = 4  # multiplies the time until a gateway counts as notified, after a failed call
 
 
 class Change(NamedTuple):
