--- a/lab/model/actions.py
+++ b/lab/model/actions.py
@@ -1,4 +1,4 @@
-"""Executes the actions that gateways decide on."""
+"""Execution of the actions that the gateways' policies return."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class PeerMessages:
-    """Messages between gateways: delayed, lost as other packets are, paid for by the byte delivered."""
+    """Messages between gateways, with network delay and loss; their cost is counted in bytes delivered."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         self._rng = stream(seed, "peers")
 
     def send(self, gateway: ModelGateway, action: SendPeerMessage) -> None:
-        """Send to one gateway, or to all others."""
+        """Send a message to one gateway, or to all others."""
         for peer in self._gateways:
             if peer is gateway or action.gateway_index not in (None, peer.index):
                 continue
@@ -68,7 +68,7 @@
 
 
 class HealthChecks:
-    """Health checks of endpoints, over connections of their own."""
+    """Health checks of endpoints, each over a separate connection."""
 
     def __init__(
         self, clock: Clock, scenario: Scenario, network: Network, fleet: EndpointFleet, record: RunRecord
@@ -81,7 +81,7 @@
         self._connect_timeout_us = to_us(scenario.network.connect_timeout_ms / 1e3)
 
     def start(self, gateway: ModelGateway, endpoint_id: int) -> None:
-        """Begin one."""
+        """Start a health check of an endpoint; the gateway receives its outcome as an event."""
         self._record.costs["probes"] += 1
         endpoint = self._fleet.by_id(endpoint_id)
         duration_us = 2 * self._network.delay_us(gateway.zone, endpoint) + round(self._work_us)
@@ -100,7 +100,7 @@
 
 
 class ActionExecutor:
-    """Passes each action to the part of the model that it concerns."""
+    """Passes each action to the part of the model that executes it."""
 
     def __init__(
         self,
@@ -145,7 +145,9 @@
     def _answer(self, gateway: ModelGateway, action: Reject | Fail) -> None:
         request = gateway.requests.get(action.request_id)
         if request is None:
-            self._rules.report(Rule.INVALID_ACTION, gateway.index, f"{action.request_id} is not known there")
+            self._rules.report(
+                Rule.INVALID_ACTION, gateway.index, f"{action.request_id} is unknown to the gateway"
+            )
             return
         self._rules.check_answer(request, isinstance(action, Reject))
         if request.finished:
--- a/lab/model/attempt_checks.py
+++ b/lab/model/attempt_checks.py
@@ -1,4 +1,4 @@
-"""Checks of attempts against the rules, and what their gateways have been notified of."""
+"""Checks of attempts against the rules, given the notifications that the gateways have received."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class AttemptChecks:
-    """What the rules say of an attempt as it is sent."""
+    """Checks each attempt against the rules when it is sent."""
 
     def __init__(self, fleet: EndpointFleet, registry: Registry, rules: Rules) -> None:
         self._fleet = fleet
@@ -35,7 +35,7 @@
         self._rules.check_target(gateway.index, endpoint.index, notified_us)
 
     def knows_last_start(self, gateway: ModelGateway, endpoint: ModelEndpoint) -> bool:
-        """Whether the gateway has been notified, or counts as notified, of an endpoint's last start."""
+        """Return whether the gateway was notified, or counts as notified, of an endpoint's last start."""
         endpoint_id = self._fleet.ids[endpoint.index]
         entry = gateway.endpoint_list.get(endpoint_id)
         if entry is not None and entry.started_us == endpoint.started_us:
@@ -45,7 +45,7 @@
 
 
 def deduplication_group(scope: DeduplicationScope, endpoint: ModelEndpoint) -> int:
-    """The group of endpoints that drops the repeats of a keyed request."""
+    """Return the index of the endpoint group that deduplicates requests with an idempotency key."""
     match scope:
         case DeduplicationScope.ZONE:
             return endpoint.zone
--- a/lab/model/attempts.py
+++ b/lab/model/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts on their way: over connections to an endpoint and back, with what the network does to them."""
+"""Attempts: connections to endpoints, transmission, answers, and network faults on the way."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 from load_balancer.decisions.actions import Cancel, Send
 from load_balancer.decisions.events import AttemptEnded, Outcome
 
-REUSABLE = frozenset({Outcome.OK, Outcome.ERROR, Outcome.REJECTED})  # the connection can be used again
-ATTEMPTS_PER_TRY = 4  # that draw losses of their own
-HANDSHAKE_ONE_WAY_DELAYS = 3  # one-way delays until a request over a new connection has arrived
+REUSABLE = frozenset({Outcome.OK, Outcome.ERROR, Outcome.REJECTED})  # outcomes that keep the connection
+ATTEMPTS_PER_TRY = 4  # attempts of one client try that have separate loss draws
+HANDSHAKE_ONE_WAY_DELAYS = 3  # SYN, SYN-ACK, then the request itself
 
 
 class EndAttempt(Protocol):
-    """Ends an attempt with an outcome."""
+    """Callback that ends an attempt."""
 
     def __call__(self, outcome: Outcome, load: LoadReport = ()) -> None:
-        """End it now."""
+        """End the attempt with an outcome and the load report of its answer."""
 
 
 class Attempts:
-    """Carries out what gateways send, and checks it against the rules."""
+    """Simulates the attempts that gateways send, and checks them against the rules."""
 
     def __init__(
         self,
@@ -61,10 +61,13 @@
         self._record = record
 
     def send(self, gateway: ModelGateway, action: Send) -> None:
-        """Begin an attempt."""
+        """Start an attempt.
+
+        An attempt past the deadline or the attempt limit ends at once with `NOT_SENT`.
+        """
         request, now_us = gateway.requests.get(action.request_id), self._clock.now_us
         if request is None or action.endpoint_id not in gateway.known_ids:
-            description = f"{action.request_id} or {action.endpoint_id} is not known there"
+            description = f"{action.request_id} or endpoint {action.endpoint_id} is unknown to the gateway"
             self._rules.report(Rule.INVALID_ACTION, gateway.index, description)
             return
         endpoint = self._fleet.by_id(action.endpoint_id)
@@ -85,17 +88,17 @@
         self._transmit(gateway, request, attempt, end)
 
     def cancel(self, gateway: ModelGateway, action: Cancel) -> None:
-        """Cancel an attempt; its outcome is an event of its own."""
+        """Cancel an attempt; its end is delivered to the gateway as an event."""
         request = gateway.requests.get(action.request_id)
         if request is None or not 0 <= action.attempt < len(request.attempts):
-            description = f"{action.request_id} cancelled, but never sent"
+            description = f"{action.request_id} had an attempt cancelled that was never sent"
             self._rules.report(Rule.INVALID_ACTION, gateway.index, description)
             return
         end = partial(self._end, gateway, gateway.epoch, request, action.attempt)
         self._clock.call_at(self._clock.now_us, end, Outcome.CANCELLED)
 
     def reset_attempts(self, gateway: ModelGateway, request: GatewayRequest) -> None:
-        """End the attempts of a request whose gateway has died."""
+        """End the attempts of a request whose gateway process has ended."""
         for attempt in request.attempts:
             if attempt.outcome is None:
                 self._release(gateway, attempt, Outcome.RESET)
@@ -103,7 +106,7 @@
     def _transmit(
         self, gateway: ModelGateway, request: GatewayRequest, attempt: Attempt, end: EndAttempt
     ) -> None:
-        """Over an idle connection, or a new one."""
+        """Send an attempt over an idle connection, or over a new one if there is none."""
         endpoint, now_us = self._fleet.endpoints[attempt.endpoint_index], self._clock.now_us
         idle = gateway.idle_connections.pop_latest(endpoint.index)
         if idle is None:
@@ -133,7 +136,12 @@
     def _reuse(
         self, gateway: ModelGateway, endpoint: ModelEndpoint, attempt: Attempt, epoch: int, end: EndAttempt
     ) -> bool:
-        """Take an idle connection; False where its process has gone in silence and another resets it."""
+        """Use an idle connection.
+
+        Returns:
+            False where the endpoint's process was replaced without closing the connection, so that the new
+            process resets it.
+        """
         attempt.connection_epoch = epoch
         reachable = self._network.reaches_endpoint(gateway.zone, endpoint)
         if epoch == endpoint.epoch or not endpoint.up or not reachable:
@@ -146,7 +154,7 @@
     def _connect(
         self, gateway: ModelGateway, endpoint: ModelEndpoint, attempt: Attempt, end: EndAttempt
     ) -> bool:
-        """Open a connection; False where that fails."""
+        """Open a connection; return whether that succeeds."""
         self._record.costs["handshakes"] += 1
         if not self._network.reaches_endpoint(gateway.zone, endpoint):
             failed_after_us = self._connect_timeout_us
@@ -160,7 +168,7 @@
         return False
 
     def _is_lost(self, request: GatewayRequest, attempt: Attempt, leg: int) -> bool:
-        """Whether a request (leg 0) or its answer (leg 1) is lost."""
+        """Return whether the request (leg 0) or its answer (leg 1) is lost."""
         attempt_index = request.try_number * ATTEMPTS_PER_TRY + request.attempts.index(attempt)
         column = attempt_index % ATTEMPTS * 2 + leg
         return bool(self._workload.loss[request.client_request, column] < self._network.loss)
@@ -177,7 +185,7 @@
         endpoint.take(attempt.job)
 
     def _return_reset(self, gateway: ModelGateway, endpoint: ModelEndpoint, end: EndAttempt) -> None:
-        """The process at the other end has gone."""
+        """Reset the connection because the endpoint process that held it has ended."""
         if self._network.reaches_endpoint(gateway.zone, endpoint):
             delay_us = self._network.delay_us(gateway.zone, endpoint)
             self._clock.call_at(self._clock.now_us + delay_us, end, Outcome.RESET)
@@ -208,7 +216,7 @@
         outcome: Outcome,
         load: LoadReport = (),
     ) -> None:
-        """End an attempt; its first outcome counts."""
+        """End an attempt and notify the gateway; only the first outcome counts."""
         attempt = request.attempts[attempt_number]
         if attempt.outcome is not None or gateway.epoch != epoch:
             return
@@ -225,7 +233,10 @@
         )
 
     def _release(self, gateway: ModelGateway, attempt: Attempt, outcome: Outcome) -> None:
-        """The connection is idle, or closed; an endpoint that still works on it drops that one way later."""
+        """Keep or close the attempt's connection.
+
+        If it is closed, the endpoint drops the attempt's job one network delay later.
+        """
         endpoint = self._fleet.endpoints[attempt.endpoint_index]
         attempt.outcome = outcome
         if attempt.connection_epoch is not None and attempt.connection_epoch == endpoint.epoch:
--- a/lab/model/commands.py
+++ b/lab/model/commands.py
@@ -24,12 +24,18 @@
 @click.command("run")
 @click.argument("scenario_name", metavar="SCENARIO")
 @click.option(
-    "--policy", "policy_names", multiple=True, type=click.Choice(list(POLICIES)), help="[default: the file's]"
+    "--policy",
+    "policy_names",
+    multiple=True,
+    type=click.Choice(list(POLICIES)),
+    help="[default: the scenario's]",
+)
+@click.option(
+    "--seeds", type=click.IntRange(1, 100_000), help="Run seeds 1 to this [default: the scenario's, else 5]"
 )
-@click.option("--seeds", type=click.IntRange(1, 100_000), help="From 1 to this [default: the file's, 5]")
 @click.option("--jobs", type=click.IntRange(1, 256), default=4, show_default=True, help="Worker processes.")
 @click.option(
-    "--knob", "knobs", multiple=True, help="A constant for these runs, as circuit_breaker.RING_SIZE=20."
+    "--knob", "knobs", multiple=True, help="Constant to override, such as circuit_breaker.RING_SIZE=20."
 )
 @click.option(
     "--out",
@@ -45,13 +51,12 @@
     knobs: tuple[str, ...],
     out: Path,
 ) -> int:
-    """Play a scenario of the fleet model: a file, or the name of one in lab/scenarios.
+    """Run a scenario of the fleet model: a file, or the name of one in lab/scenarios.
 
-    Results are kept as JSON lines; a run that was cut off goes on from them. The figures are the model's own.
+    Results are stored as JSON lines; an interrupted run resumes from them. The figures come from the model.
     """
-    previous_handler = signal.signal(
-        signal.SIGTERM, signal.default_int_handler
-    )  # so that the workers are ended too
+    # SIGTERM is handled as an interrupt, so that the worker processes end too.
+    previous_handler = signal.signal(signal.SIGTERM, signal.default_int_handler)
     try:
         plan = make_plan(scenario_name, policy_names, seeds, knobs)
         results = run_with_progress(plan, out, jobs)
@@ -60,10 +65,10 @@
     except OSError as error:
         raise click.UsageError(f"{out} cannot be written: {error.strerror}") from None
     except BrokenExecutor:
-        print("lab: a worker process was ended; the same command goes on from here", file=sys.stderr)
+        print("lab: a worker process died; run the same command again to resume", file=sys.stderr)
         return 1
     except KeyboardInterrupt:
-        print("lab: interrupted; the same command goes on from here", file=sys.stderr)
+        print("lab: interrupted; run the same command again to resume", file=sys.stderr)
         return 130
     finally:
         signal.signal(signal.SIGTERM, previous_handler)
@@ -75,7 +80,7 @@
 def make_plan(
     scenario_name: str, policy_names: tuple[str, ...], seeds: int | None, knobs: tuple[str, ...]
 ) -> experiment.ExperimentPlan:
-    """The plan of a run: the scenario's own policies and seeds where none are given.
+    """Return the plan of a run, with the scenario's own policies and seeds if none are given.
 
     Raises:
         ScenarioError: The file cannot be used.
@@ -91,7 +96,7 @@
 
 
 def run_with_progress(plan: experiment.ExperimentPlan, out: Path, jobs: int) -> list[Result]:
-    """Play what the folder does not hold yet, with a progress bar and the pace on standard error."""
+    """Run what the folder does not hold yet, with a progress bar and a summary on standard error."""
     experiment.read_finished(plan, out)
     out.mkdir(parents=True, exist_ok=True)
     started_s, event_count, run_count = time.monotonic(), 0, 0
@@ -113,15 +118,12 @@
         progress.add_task(plan.scenario.name, total=len(list(plan.tasks())))
         results = experiment.run_plan(plan, out, jobs, advance)
     took_s = time.monotonic() - started_s
-    print(
-        f"{run_count} days played in {took_s:.1f} s, {event_count / took_s:,.0f} events a second",
-        file=sys.stderr,
-    )
+    print(f"{run_count} runs in {took_s:.1f} s, {event_count / took_s:,.0f} events a second", file=sys.stderr)
     return results
 
 
 def print_results(plan: experiment.ExperimentPlan, results: list[Result]) -> None:
-    """Print the means, the broken rules, and the policies against the first one."""
+    """Print the means, the broken rules, and a comparison of each policy with the first one."""
     print(summary.format_summary(results))
     for line in summary.format_violations(results):
         print(line)
@@ -132,15 +134,15 @@
             results_of_policy(results, first), results_of_policy(results, other), other
         )[:1]
     if rows:
-        print(f"\nAgainst {first}:")
+        print(f"\nCompared with {first}:")
         print(table(comparison.COMPARE_COLUMNS, rows))
 
 
 def check_policies(scenario: Scenario, name: str) -> tuple[str, ...]:
-    """The policies that a file names.
+    """Return the policies that a scenario file names.
 
     Raises:
-        ScenarioError: One is not there.
+        ScenarioError: A policy is unknown.
     """
     for index, policy in enumerate(scenario.policies):
         if policy not in POLICIES:
@@ -153,9 +155,9 @@
 @click.argument("first", type=click.Path(path_type=Path, exists=True, file_okay=False))
 @click.argument("second", type=click.Path(path_type=Path, exists=True, file_okay=False))
 def compare_command(first: Path, second: Path) -> int:
-    """The second directory of results against the first: paired by seed, with a bootstrap 95 % interval.
+    """Compare the second directory of results with the first, in pairs by seed.
 
-    There is a verdict only where the interval excludes nought.
+    There is a verdict only where the 95 % bootstrap interval of the mean difference excludes zero.
     """
     try:
         print(comparison.compare_folders(first, second))
@@ -167,15 +169,15 @@
 @click.command("report")
 @click.argument("folder", metavar="DIR", type=click.Path(path_type=Path, exists=True, file_okay=False))
 def report_command(folder: Path) -> int:
-    """Draw what `lab run` has written in DIR: DIR/report.html, one file with all its pictures."""
-    from lab.page import document  # its plots take long to import
+    """Write a report on the results of `lab run` in DIR: DIR/report.html, a single file with its pictures."""
+    from lab.page import document  # imported here because matplotlib is slow to import
 
     try:
         path, notes = document.write_page(folder)
     except UsageError as error:
         raise click.UsageError(str(error)) from None
     except OSError as error:
-        raise click.UsageError(f"{folder}: no report can be written: {error.strerror}") from None
+        raise click.UsageError(f"{folder}: the report cannot be written: {error.strerror}") from None
     for note in notes:
         print(f"lab: {note}", file=sys.stderr)
     print(path)
--- a/lab/model/comparison.py
+++ b/lab/model/comparison.py
@@ -1,4 +1,4 @@
-"""Results compared in pairs by seed, with bootstrap intervals."""
+"""Comparison of results in pairs by seed, with bootstrap intervals."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from lab.tables import table
 
 RESAMPLES = 10_000
-CONFIDENCE_PERCENT = 95.0  # %
-MIN_PAIRS = 5  # fewer resampled give an interval that is far too narrow
+CONFIDENCE_PERCENT = 95.0
+MIN_PAIRS = 5  # with fewer pairs, the bootstrap interval is far too narrow
 LOWER_IS_BETTER = frozenset({"late", "refused", "failed", "p99_ms"})
 COMPARE_COLUMNS = ("figure", "pairs", "difference", "low", "high", "verdict")
 
 
 def bootstrap_interval(differences: list[float], seed: int = 0) -> tuple[float, float, float]:
-    """Mean of paired differences, and the bounds of its bootstrap 95 % interval."""
+    """Return the mean of paired differences and the bounds of its 95 % bootstrap interval."""
     values = np.asarray(differences, dtype=np.float64)
     rng = np.random.default_rng(seed)
     means = values[rng.integers(len(values), size=(RESAMPLES, len(values)))].mean(axis=1)
@@ -29,14 +29,23 @@
 
 
 def verdict(name: str, low: float, high: float) -> str:
-    """Better or worse, only where the interval excludes zero."""
+    """Return "better" or "worse" if the interval excludes zero, "no verdict" otherwise."""
     if low <= 0.0 <= high:
         return "no verdict"
     return "better" if (low > 0.0) != (name in LOWER_IS_BETTER) else "worse"
 
 
 def compare_results(baseline: list[Result], candidate: list[Result], label: str) -> list[tuple[str, ...]]:
-    """Rows on the second against the first, of the seeds that both have."""
+    """Compare two lists of results by the seeds that both have.
+
+    Args:
+        baseline: Results that the candidate is compared with.
+        candidate: Results to judge.
+        label: Text in front of each metric's name.
+
+    Returns:
+        Rows of a table with `COMPARE_COLUMNS`.
+    """
     by_seed = {r["seed"]: r for r in baseline if "crash" not in r}
     rows: list[tuple[str, ...]] = []
     for name in COMPARED_METRICS:
@@ -61,15 +70,15 @@
 
 
 def compare_folders(baseline: Path, candidate: Path) -> str:
-    """The second against the first, policy by policy.
+    """Compare two folders of results, policy by policy, and return a table.
 
     Raises:
-        UsageError: They cannot be compared.
+        UsageError: A folder has no results, or the folders cannot be compared.
     """
     baseline_header, baseline_results = _read_folder(baseline)
     candidate_header, candidate_results = _read_folder(candidate)
     if baseline_header.get("digest") != candidate_header.get("digest"):
-        raise UsageError("the folders hold runs of different scenarios: expected the same")
+        raise UsageError("the folders hold runs of different scenarios: expected runs of the same scenario")
     policies = dict.fromkeys(result["policy"] for result in baseline_results)
     common_policies = [policy for policy in policies if results_of_policy(candidate_results, policy)]
     if not common_policies:
@@ -85,5 +94,5 @@
 def _read_folder(folder: Path) -> tuple[Result, list[Result]]:
     header, results = read_results_file(folder / RESULTS_FILE)
     if header is None:
-        raise UsageError(f"{folder}: expected a folder that lab run has written")
+        raise UsageError(f"{folder}: expected a folder written by lab run")
     return header, results
--- a/lab/model/experiment.py
+++ b/lab/model/experiment.py
@@ -1,4 +1,4 @@
-"""Runs over seeds and policies in worker processes, kept in a result file."""
+"""Runs of a scenario over seeds and policies in worker processes, stored in a result file."""
 
 from __future__ import annotations
 
@@ -23,14 +23,21 @@
 
 
 def initialize_worker(knobs: Iterable[Knob]) -> None:
-    """Prepare a worker process: ignore interrupts, as the parent lets the runs under way finish."""
+    """Set the knobs of a worker process and ignore interrupts: the parent lets current runs finish."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     apply_knobs(knobs)
 
 
 @dataclass(frozen=True, slots=True)
 class ExperimentPlan:
-    """What is to be run."""
+    """A scenario with the policies, seeds and knobs to run it with.
+
+    Attributes:
+        scenario: The scenario.
+        policies: Names of the policies.
+        seeds: Number of seeds, counted from 1.
+        knobs: Constants that are overridden in all runs.
+    """
 
     scenario: Scenario
     policies: tuple[str, ...]
@@ -39,7 +46,7 @@
 
     @property
     def header(self) -> Result:
-        """What a file's results have in common: the first of its lines."""
+        """The result file's first line: what all its results have in common."""
         return {
             "scenario": self.scenario.name,
             "digest": hashlib.sha256(msgspec.json.encode(self.scenario)).hexdigest()[:16],
@@ -48,12 +55,12 @@
         }
 
     def tasks(self) -> Iterator[tuple[str, int]]:
-        """Policy and seed of each run."""
+        """Return the policy and the seed of each run."""
         return ((policy, seed) for seed in range(1, self.seeds + 1) for policy in self.policies)
 
 
 def program_digest() -> str:
-    """A digest of the decisions' and the model's own text: results of two of them don't belong together."""
+    """Return a digest of the source code that runs depend on; results of different digests are not mixed."""
     digest = hashlib.sha256()
     for folder in (Path(load_balancer.__file__).parent, Path(__file__).parent):
         for path in sorted(folder.rglob("*.py")):
@@ -62,7 +69,7 @@
 
 
 def simulate(scenario: Scenario, policy: str, seed: int) -> Result:
-    """One day; a policy that raises is named in place of its figures."""
+    """Run a scenario once; an exception of the policy is recorded in place of the figures."""
     try:
         world = World(scenario, policies.POLICIES[policy], seed)
         world.play()
@@ -73,10 +80,10 @@
 
 
 def read_finished(plan: ExperimentPlan, folder: Path) -> list[Result]:
-    """The results that a folder holds.
+    """Return the results that a folder already holds.
 
     Raises:
-        UsageError: They are of another scenario, other knobs or another program.
+        UsageError: They belong to another scenario, other knobs or another program.
     """
     header, finished = read_results_file(folder / RESULTS_FILE)
     mismatched_keys = [
@@ -93,9 +100,18 @@
 def run_plan(
     plan: ExperimentPlan, folder: Path, jobs: int, on_result: Callable[[Result | None], None]
 ) -> list[Result]:
-    """Play what the folder does not hold yet; `done` is called with each result, None for one that was there.
+    """Run what the folder does not hold yet, and store the results in it.
+
+    For equal seeds, the file does not depend on `jobs` or on results left by an interrupted run.
+
+    Args:
+        plan: What to run.
+        folder: The folder of the result file.
+        jobs: Number of worker processes.
+        on_result: Called with each new result, and with None for each result that was already there.
 
-    The file is the same for equal seeds whatever `jobs` is, and whatever was there when the run was cut off.
+    Returns:
+        The results of the plan, old and new.
     """
     path, finished = folder / RESULTS_FILE, read_finished(plan, folder)
     finished_runs = {(result["policy"], result["seed"]) for result in finished}
@@ -116,7 +132,7 @@
 
 
 def simulate_all(plan: ExperimentPlan, tasks: list[tuple[str, int]], jobs: int) -> Iterator[Result]:
-    """Yield the results as they come, from worker processes that apply the plan's knobs first."""
+    """Run tasks in worker processes that have the plan's knobs set, and yield results as they complete."""
     context = multiprocessing.get_context("spawn")
     pool = ProcessPoolExecutor(
         min(jobs, len(tasks)), context, initializer=initialize_worker, initargs=(plan.knobs,)
--- a/lab/model/gateway.py
+++ b/lab/model/gateway.py
@@ -1,4 +1,4 @@
-"""A model gateway: it feeds events to its policy and holds what a gateway process holds."""
+"""Model gateways: they deliver events to their policy and hold the state of a gateway process."""
 
 from __future__ import annotations
 
@@ -18,10 +18,15 @@
 
 
 class IdleConnection(NamedTuple):
-    """An open connection that no attempt uses."""
+    """An open connection that no attempt uses.
+
+    Attributes:
+        since_us: When the connection became idle.
+        epoch: Epoch of the endpoint process that holds the other end.
+    """
 
     since_us: int
-    epoch: int  # of the endpoint's process at the other end
+    epoch: int
 
 
 class IdleConnections:
@@ -32,30 +37,30 @@
         self._idle: dict[int, list[IdleConnection]] = {}
 
     def add(self, endpoint: ModelEndpoint, now_us: int) -> None:
-        """Keep a connection to the endpoint's present process."""
+        """Add a connection to the endpoint's current process."""
         self._idle.setdefault(endpoint.index, []).append(IdleConnection(now_us, endpoint.epoch))
 
     def pop_latest(self, endpoint_index: int) -> IdleConnection | None:
-        """The connection that was used last, or None."""
+        """Remove and return the connection used most recently, or None if there is none."""
         idle = self._idle.get(endpoint_index)
         return idle.pop() if idle else None
 
     def close(self, endpoint_index: int) -> None:
-        """Close those to one endpoint."""
+        """Close the idle connections to one endpoint."""
         self._close_oldest(endpoint_index, len(self._idle.get(endpoint_index, ())))
 
     def close_all(self) -> None:
-        """Close those to every endpoint."""
+        """Close the idle connections to all endpoints."""
         for endpoint_index in self._idle:
             self.close(endpoint_index)
 
     def close_idle_since(self, limit_us: int) -> None:
-        """Close those that have been idle since a time or longer."""
+        """Close the connections that became idle at `limit_us` or earlier."""
         for endpoint_index, idle in self._idle.items():
             self._close_oldest(endpoint_index, sum(connection.since_us <= limit_us for connection in idle))
 
     def discard(self, endpoint_index: int) -> None:
-        """Drop those to an endpoint whose process has closed them itself."""
+        """Remove the connections to an endpoint whose process has closed them itself."""
         self._idle.pop(endpoint_index, None)
 
     def _close_oldest(self, endpoint_index: int, count: int) -> None:
@@ -66,7 +71,25 @@
 
 
 class ModelGateway:
-    """One gateway process after another under one name."""
+    """A gateway and the state of its current process; a restart begins a new process.
+
+    Attributes:
+        index: The gateway's index in the scenario.
+        zone: Index of its zone.
+        settings: Its settings.
+        epoch: Number of its processes that have ended.
+        endpoint_list: The last list received, by endpoint id; it outlives a process.
+        discovery_index: Number of discovery's changes that the gateway has received.
+        up: Whether a process runs.
+        policy: The process's policy.
+        known_ids: Ids of all endpoints that were listed for this process.
+        stop_notified_us: When the process was notified that an endpoint drains or is gone, by endpoint id.
+        watching: Whether the process watches the endpoint list.
+        last_call_us: When the process last called discovery.
+        call_failed: Whether that call failed.
+        idle_connections: Its idle connections.
+        requests: The requests that it has received, by request id.
+    """
 
     def __init__(
         self,
@@ -82,9 +105,9 @@
         self.index = index
         self.zone = settings.zone
         self.settings = settings
-        self.epoch = 0  # number of processes that have ended
+        self.epoch = 0
         self.endpoint_list = {entry.id: entry for entry in listed}
-        self.discovery_index = 0  # changes of the list that it has received
+        self.discovery_index = 0
         self._clock = clock
         self._endpoints = endpoints
         self._create_policy = create_policy
@@ -93,23 +116,23 @@
         self.start()
 
     def start(self) -> None:
-        """Begin a process that knows nothing but the list last held."""
+        """Start a process that knows only the last list received."""
         now_us = self._clock.now_us
         self.up = True
         self.policy: Policy = self._create_policy(self.settings, int(self._seeds.integers(2**31)))
-        self.known_ids = set(self.endpoint_list)  # all that a list of this process has named
-        self.stop_notified_us = {  # when it was notified that an endpoint drains or is gone
+        self.known_ids = set(self.endpoint_list)
+        self.stop_notified_us = {
             n: now_us for n, e in self.endpoint_list.items() if e.status is not EndpointStatus.READY
         }
         self.watching: bool = self.settings.endpoints_are_pushed
-        self.last_call_us = now_us  # to discovery
+        self.last_call_us = now_us
         self.call_failed = False
         self.idle_connections = IdleConnections(self._endpoints)
         self.requests: dict[str, GatewayRequest] = {}
         self.deliver(EndpointListReceived(ListKind.CACHED, tuple(self.endpoint_list.values())))
 
     def stop(self) -> list[GatewayRequest]:
-        """End the process; returns the requests that it held."""
+        """End the process and return the requests that it had received."""
         self.up = False
         self.epoch += 1
         self.idle_connections.close_all()
@@ -117,12 +140,12 @@
         return list(requests.values())
 
     def deliver(self, event: Event) -> None:
-        """Give an event to the policy and execute what it decides."""
+        """Deliver an event to the policy and execute the actions that it returns."""
         for action in self.policy.handle(self._clock.now_us, event):
             self._execute(self, action)
 
     def deliver_list(self, event: EndpointListReceived) -> None:
-        """Record what discovery lists and when, then deliver it."""
+        """Record a list from discovery and the time of each notification, then deliver it."""
         now_us = self._clock.now_us
         if event.kind is ListKind.COMPLETE:
             for endpoint_id in self.endpoint_list.keys() - {entry.id for entry in event.endpoints}:
--- a/lab/model/knobs.py
+++ b/lab/model/knobs.py
@@ -1,4 +1,4 @@
-"""Constants of the decisions that a run may change, and the names that earlier versions gave them."""
+"""Knobs: constants of the decisions that a run may override, and their names in earlier versions."""
 
 from __future__ import annotations
 
@@ -75,45 +75,51 @@
     "evidence.TRIALS": "circuit_breaker.HALF_OPEN_TRIALS",
     "evidence.WEIGHT_UNIT": "weight_controller.WEIGHT_UNIT",
 }
-"""Knobs as stored results name them, and where the constants are now; still accepted on the command line."""
+"""Names of knobs in stored results, and the constants' current names; the command line accepts both."""
 
 
 def decision_modules() -> Iterator[ModuleType]:
-    """Yield all modules of the decisions: those that use a constant hold it under the same name."""
+    """Yield all modules of the decisions; a module that imports a constant keeps it under the same name."""
     for module_info in pkgutil.iter_modules(decisions.__path__):
         yield importlib.import_module(f"{decisions.__name__}.{module_info.name}")
 
 
 @dataclass(frozen=True, slots=True)
 class Knob:
-    """A constant of the decisions, and the value that it has in these runs."""
+    """A constant of the decisions, and its value in a run.
 
-    module: str  # as the command names it
+    Attributes:
+        module: The module's name, as given on the command line.
+        name: The constant's name, as given on the command line.
+        value: The value.
+    """
+
+    module: str
     name: str
     value: int | float
 
     @property
     def text(self) -> str:
-        """As on the command line."""
+        """The knob as it is written on the command line."""
         return f"{self.module}.{self.name}={self.value}"
 
     @property
     def constant(self) -> tuple[str, str]:
-        """The module of the decisions and the constant's name there, whichever name the command used."""
+        """The full name of the constant's module and its name there; old names of knobs are resolved."""
         knob_name = f"{self.module}.{self.name}"
         module, _, name = OLD_KNOBS.get(knob_name, knob_name).partition(".")
         return f"{decisions.__name__}.{module}", name
 
 
 def parse_knob(text: str) -> Knob:
-    """Parse a knob as circuit_breaker.RING_SIZE=20.
+    """Parse a knob, such as circuit_breaker.RING_SIZE=20.
 
     Raises:
-        UsageError: The text has another form, there is no such constant, or the value is of another type.
+        UsageError: The text is malformed, the constant does not exist, or the value has the wrong type.
     """
     match = re.fullmatch(r"([a-z][a-z_]*)\.([A-Z][A-Z0-9_]*)=(\S+)", text)
     if match is None:
-        raise UsageError(f"--knob {text}: expected MODULE.NAME=NUMBER, as circuit_breaker.RING_SIZE=20")
+        raise UsageError(f"--knob {text}: expected MODULE.NAME=NUMBER, such as circuit_breaker.RING_SIZE=20")
     module, name, number_text = match.groups()
     module_path, constant_name = Knob(module, name, 0).constant
     modules = {module.__name__: module for module in decision_modules()}
@@ -132,7 +138,7 @@
 
 
 def apply_knobs(knobs: Iterable[Knob]) -> None:
-    """Set the constants in all modules of the decisions that hold them, in this process."""
+    """Set the constants, for this process, in every module of the decisions that has them."""
     for knob in knobs:
         name = knob.constant[1]
         for module in decision_modules():
--- a/lab/model/policies.py
+++ b/lab/model/policies.py
@@ -1,7 +1,8 @@
 """The policies that are compared: the real Balancer, and reference policies behind the same interface.
 
-The reference ones watch the list, never repeat what may have run unless it is idempotent, and refuse when
-nothing is listed. They know nothing of cold endpoints, so that they may break rule 4: the result says so.
+The reference policies watch the endpoint list, retry a request that may have been executed only if it is
+idempotent, and reject a request when no endpoint is listed. They ignore slow start, so they may break rule 4;
+the results then list the violations.
 """
 
 from __future__ import annotations
@@ -30,19 +31,26 @@
 
 
 class Policy(Protocol):
-    """What decides for a gateway."""
+    """Makes the decisions of one gateway."""
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        """The actions that an event calls for."""
+        """Return the actions to take after an event."""
         ...
 
 
-CreatePolicy = Callable[[Settings, int], Policy]  # from the gateway's settings and a seed
+CreatePolicy = Callable[[Settings, int], Policy]  # called with the gateway's settings and a seed
 
 
 @dataclass(slots=True)
 class OpenRequest:
-    """A request without its final answer."""
+    """A request without its final answer.
+
+    Attributes:
+        event: The request's arrival.
+        deadline_us: Time by which the client expects the final answer.
+        tried_endpoints: Ids of the endpoints that the request was sent to.
+        may_have_run: Whether an endpoint may have executed the request.
+    """
 
     event: RequestArrived
     deadline_us: int
@@ -51,21 +59,33 @@
 
 
 class ReferencePolicy:
-    """Random choice; the others differ in `choose` alone."""
+    """Chooses endpoints at random; subclasses override `choose_endpoint` only.
+
+    Attributes:
+        settings: The gateway's settings.
+        random: Random generator, seeded per gateway process.
+        ready_endpoints: Ids of the listed endpoints that are ready, in ascending order.
+        in_flight: Number of attempts in flight, by endpoint id.
+        open_requests: Requests without a final answer, by request id.
+    """
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
         self.random = random.Random(seed)
         self.ready_endpoints: list[int] = []
-        self.in_flight: dict[int, int] = {}  # attempts, by endpoint
+        self.in_flight: dict[int, int] = {}
         self.open_requests: dict[str, OpenRequest] = {}
 
     def choose_endpoint(self, endpoints: list[int]) -> int:
-        """One of the endpoints that may take an attempt."""
+        """Return the endpoint that receives the next attempt.
+
+        Args:
+            endpoints: Ids of the endpoints that may receive it; there is at least one.
+        """
         return self.random.choice(endpoints)
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        """The actions that an event calls for."""
+        """Return the actions to take after an event."""
         match event:
             case EndpointListReceived():
                 return self.on_list(now_us, event)
@@ -82,7 +102,7 @@
         return []
 
     def on_list(self, now_us: int, event: EndpointListReceived) -> list[Action]:
-        """Take over a list, and subscribe after the cached one."""
+        """Apply an endpoint list, and subscribe to changes after the cached list."""
         if event.kind is ListKind.ERROR:
             return [] if self.settings.endpoints_are_pushed else [SetTimer(now_us + POLL_INTERVAL_US, 0)]
         listed_ids = {entry.id for entry in event.endpoints}
@@ -97,7 +117,7 @@
         return [SubscribeEndpoints()] if subscribes else []
 
     def send_attempt(self, now_us: int, request_id: str) -> list[Action]:
-        """An attempt at an endpoint not tried yet, or the final answer."""
+        """Send a request to an endpoint not tried yet, or give its final answer if no attempt is possible."""
         open_request = self.open_requests[request_id]
         endpoints = [n for n in self.ready_endpoints if n not in open_request.tried_endpoints]
         remaining_us = open_request.deadline_us - now_us
@@ -115,11 +135,11 @@
         return [Send(request_id, endpoint, remaining_us)]
 
     def idempotency(self, request: OpenRequest) -> Idempotency:
-        """Of the request's class."""
+        """Return the idempotency of the request's class."""
         return self.settings.classes[request.event.request_class].idempotency
 
     def on_attempt_end(self, now_us: int, event: AttemptEnded) -> list[Action]:
-        """Send again what cannot have run or is idempotent."""
+        """Retry a request that was not executed or is idempotent; let any other fail."""
         open_request = self.open_requests.get(event.request_id)
         if open_request is None:
             return []
@@ -134,30 +154,30 @@
 
 
 class RoundRobin(ReferencePolicy):
-    """Each endpoint in its turn."""
+    """Chooses the endpoints in turn."""
 
     turn = 0
 
     def choose_endpoint(self, endpoints: list[int]) -> int:
-        """See the class."""
+        """Return the next endpoint in turn."""
         self.turn += 1
         return endpoints[self.turn % len(endpoints)]
 
 
 class LeastOutstanding(ReferencePolicy):
-    """The endpoint with the fewest attempts in flight, at random among equals."""
+    """Chooses the endpoint with the fewest attempts in flight, at random among equals."""
 
     def choose_endpoint(self, endpoints: list[int]) -> int:
-        """See the class."""
+        """Return an endpoint with the fewest attempts in flight."""
         fewest = min(self.in_flight.get(n, 0) for n in endpoints)
         return self.random.choice([n for n in endpoints if self.in_flight.get(n, 0) == fewest])
 
 
 class TwoChoices(ReferencePolicy):
-    """Of two endpoints at random, the one with fewer attempts in flight."""
+    """Draws two endpoints at random and chooses the one with fewer attempts in flight."""
 
     def choose_endpoint(self, endpoints: list[int]) -> int:
-        """See the class."""
+        """Return the less loaded of two random endpoints."""
         candidates = self.random.sample(endpoints, min(2, len(endpoints)))
         return min(candidates, key=lambda n: self.in_flight.get(n, 0))
 
--- a/lab/model/results.py
+++ b/lab/model/results.py
@@ -1,4 +1,4 @@
-"""Result files: one JSON line for what all results have in common, then one a run."""
+"""Result files: a JSON line with what all results have in common, then one JSON line per run."""
 
 from __future__ import annotations
 
@@ -15,15 +15,18 @@
 
 
 def read_results_file(path: Path) -> tuple[Result | None, list[Result]]:
-    """Header and results of a file; a last line that was cut off is left out.
+    """Read the header and the results of a file; an incomplete last line is ignored.
+
+    Returns:
+        The header, None if the file does not exist or has no complete line, and the results.
 
     Raises:
-        UsageError: A line is no result.
+        UsageError: A line is not a result.
     """
     header: Result | None = None
     results: list[Result] = []
     lines = path.read_bytes().split(b"\n") if path.exists() else []
-    for index, line in enumerate(lines[:-1]):  # the last one has no end yet, or is empty
+    for index, line in enumerate(lines[:-1]):  # the last element is empty, or an incomplete line
         try:
             fields = json.loads(line)
             if index == 0:
@@ -36,7 +39,7 @@
 
 
 def write_results_file(path: Path, header: Result, results: Iterable[Result]) -> None:
-    """Write the whole file, in order of policy and seed, and put it in place at once."""
+    """Write the whole file, ordered by policy and seed, and replace the old one atomically."""
     ordered = sorted(results, key=lambda r: (r["policy"], r["seed"]))
     draft = path.with_suffix(".draft")
     draft.write_text("".join(json.dumps(line) + "\n" for line in (header, *ordered)), encoding="utf-8")
@@ -44,5 +47,5 @@
 
 
 def results_of_policy(results: Iterable[Result], policy: str) -> list[Result]:
-    """The results of one policy."""
+    """Return the results of one policy."""
     return [result for result in results if result["policy"] == policy]
--- a/lab/model/run_record.py
+++ b/lab/model/run_record.py
@@ -1,4 +1,4 @@
-"""What a run is scored by: how each request ended, latency, and cost by kind."""
+"""The record of a run that its score is computed from: request outcomes, latency and costs."""
 
 from __future__ import annotations
 
@@ -8,11 +8,19 @@
 
 
 class RunRecord:
-    """Counters of one run; the rows are the workload's."""
+    """Outcomes and counters of one run; lists by request have the order of the workload.
+
+    Attributes:
+        ends: How each request ended.
+        latency_us: Latency of each request that was served, 0 for the others.
+        costs: Counts by kind of cost.
+        useful_work_us: Endpoint work behind the answers that clients received.
+        open_connections: Open connections of all endpoints, sampled once a second.
+    """
 
     def __init__(self, request_count: int) -> None:
         self.ends = [RequestEnd.LOST] * request_count
-        self.latency_us = [0] * request_count  # of those served
+        self.latency_us = [0] * request_count
         self.costs: Counter[str] = Counter()
-        self.useful_work_us = 0.0  # endpoint work that served an answer
-        self.open_connections: list[int] = []  # once a second
+        self.useful_work_us = 0.0
+        self.open_connections: list[int] = []
--- a/lab/model/samples.py
+++ b/lab/model/samples.py
@@ -1,4 +1,4 @@
-"""What a report draws over time: a sample each second of the endpoints' load and the gateways' guards."""
+"""Samples for the report's time plots: the endpoints' load and the gateways' protections, once a second."""
 
 from __future__ import annotations
 
@@ -10,26 +10,36 @@
 from lab.model.job import JobState
 from load_balancer.decisions.balancer import Balancer
 
-MAX_SAMPLED_ENDPOINTS = 100  # sampled one by one; larger fleets are sampled by zone alone beyond them
+MAX_SAMPLED_ENDPOINTS = 100  # endpoints sampled one by one; the others count in their zone's sample only
 
 
 def pending_work_ms(endpoint: ModelEndpoint) -> float:
-    """Work in hand on a core of speed 1: what is queued, and what is left of what runs."""
+    """Return the remaining work of queued and running jobs, in ms on a core of speed 1."""
     queued = sum(job.total_us for job in endpoint.queue if job.state is JobState.QUEUED)
     running = sum(job.total_us - endpoint.done_us(job) for job in endpoint.running)
     return (queued + running) / 1e3
 
 
 class Samples:
-    """Lists by second; of the load, one row a second with a column an endpoint or a zone."""
+    """Samples of one run.
+
+    Attributes:
+        endpoint_load: Load by kind: one row per second, one column per endpoint.
+        zone_load: Load by kind: one row per second, one column per zone.
+        guards: Circuit breakers, limits and load shedding by kind: one row per second with the mean and the
+            maximum over the gateways.
+    """
 
     def __init__(self) -> None:
         self.endpoint_load: dict[str, list[list[int]]] = {"waiting": [], "work_ms": []}
         self.zone_load: dict[str, list[list[int]]] = {"waiting": [], "work_ms": []}
-        self.guards: dict[str, list[list[float]]] = {}  # by kind: mean and most of the gateways
+        self.guards: dict[str, list[list[float]]] = {}
 
     def add_sample(self, fleet: EndpointFleet, gateways: Sequence[ModelGateway]) -> None:
-        """Add one second: load in whole requests and ms, limits in requests, what is shed as a share."""
+        """Add one second's sample.
+
+        Load is in whole requests and whole ms, limits are in requests, load shedding is a share.
+        """
         values_by_kind = {
             "waiting": [float(endpoint.waiting) for endpoint in fleet.endpoints],
             "work_ms": [pending_work_ms(endpoint) for endpoint in fleet.endpoints],
@@ -43,7 +53,7 @@
         self._add_guard_sample(gateways)
 
     def _add_guard_sample(self, gateways: Sequence[ModelGateway]) -> None:
-        """Those of the gateways that are up, and none where the policy is not the Balancer's."""
+        """Sample the gateways that are up; add nothing if no gateway runs the Balancer."""
         if not any(isinstance(gateway.policy, Balancer) for gateway in gateways):
             return
         balancers = [g.policy for g in gateways if g.up and isinstance(g.policy, Balancer)]
--- a/lab/model/score.py
+++ b/lab/model/score.py
@@ -1,4 +1,7 @@
-"""The score of a run: weight served in time over weight offered, its parts, latency and cost by kind."""
+"""The score of a run: the share of the offered weight that was served, its parts, latency and costs.
+
+The weight of a request is its work times the priority weight of its class. A late answer counts in part.
+"""
 
 from __future__ import annotations
 
@@ -29,23 +32,32 @@
 
 
 def ratio(served: float, offered: float) -> float:
-    """A share of nothing is all of it."""
+    """Return `served / offered`, or 1 if nothing was offered."""
     return served / offered if offered else 1.0
 
 
 @dataclass
 class RunTotals:
-    """Weight offered and served of a run, as a whole and by its parts."""
-
-    offered: Floats  # by second
+    """Totals of a run that its score is computed from.
+
+    Attributes:
+        offered: Weight offered, by second of arrival.
+        served: Weight served, by second of arrival.
+        by_class: Weight served and offered: one row per class.
+        by_tenant: Weight served and offered, without requests over quota: one row per tenant.
+        end_counts: Number of requests by how they ended, under the names in `END_KINDS`.
+        latency: Latency of the requests that were served.
+    """
+
+    offered: Floats
     served: Floats
-    by_class: Floats  # one row a class: served and offered
-    by_tenant: Floats  # one row a tenant: served and offered, without what is over quota
-    end_counts: Counter[str]  # by the words of results
+    by_class: Floats
+    by_tenant: Floats
+    end_counts: Counter[str]
     latency: Hist
 
     def parts(self) -> dict[str, float]:
-        """The parts of the score, each the share of the weight that was served."""
+        """Return the parts of the score, each a share of the offered weight."""
         windows = range(max(1, len(self.offered) - WINDOW_S + 1))
         return {
             "whole": ratio(float(self.served.sum()), float(self.offered.sum())),
@@ -62,7 +74,7 @@
 
 
 def compute_totals(world: World) -> RunTotals:
-    """Count the weight of all requests; prices are not taken off."""
+    """Add up the weight of all requests; costs are not subtracted."""
     workload, traffic = world.workload, world.scenario.traffic
     seconds = int(np.ceil(world.scenario.seconds))
     totals = RunTotals(
@@ -93,7 +105,7 @@
 
 
 def costs(world: World) -> dict[str, float]:
-    """What the run cost, by kind."""
+    """Return the costs of the run, by kind."""
     record, endpoints = world.record, world.fleet.endpoints
     offered_us = float(sum(world.workload.work_us))
     worked_us = sum(endpoint.worked_us for endpoint in endpoints)
@@ -107,7 +119,7 @@
 
 
 def compute_result(world: World) -> dict[str, Any]:
-    """All figures of a run that has been played, under the keys of stored results."""
+    """Return all figures of a completed run, under the keys of stored results."""
     totals = compute_totals(world)
     parts, count, latency = totals.parts(), len(world.record.ends), totals.latency
     weights = {name: getattr(world.scenario.objective, name) for name in parts}
--- a/lab/page/document.py
+++ b/lab/page/document.py
@@ -1,4 +1,4 @@
-"""The whole page: read from a folder's results, put together and written."""
+"""The report page: its sections are rendered from a folder's results and written as one HTML file."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
 
 
 def render_page(view: View) -> str:
-    """The page's HTML."""
+    """Return the page's HTML."""
     name, seeds = str(view.header.get("scenario")), sorted({r["seed"] for r in view.results})
     knobs = ", ".join(map(str, view.header.get("knobs") or ())) or "none turned"
-    program = escape(str(view.header.get("program", "not told")))
+    program = escape(str(view.header.get("program", "unknown")))
     parts = [
         f"<h1>Fleet model: {escape(name)}</h1>",
         f"<p>Policies: {len(view.policies)}; seeds: {len(seeds)}; knobs: {escape(knobs)}; program: "
-        f"{program}. <strong>The figures are "
-        "the model's own: the operators' bench is the judge.</strong></p>",
+        f"{program}. <strong>The figures come "
+        "from the fleet model; the operators' benchmark is authoritative.</strong></p>",
         html.note(
-            "Every policy meets the same days. A line or a bar is the mean over the seeds, "
-            "and the shade or the whisker reaches from the least to the most of them. A policy has one "
-            f"colour throughout: {view.color_legend()}"
+            "Each policy runs with the same seeds, so that all receive the same requests. A line or a bar "
+            "is the mean over the seeds; a band or a whisker spans their range. Each policy has one "
+            f"colour in all plots: {view.color_legend()}"
         ),
         *(html.note(escape(note)) for note in view.notes),
     ]
@@ -49,13 +49,13 @@
 
 
 def write_page(folder: Path) -> tuple[Path, list[str]]:
-    """Write the page of a folder of results.
+    """Write the report page of a folder of results.
 
     Returns:
-        The page's path, and notes on the results.
+        The page's path, and notes on incomplete results.
 
     Raises:
-        UsageError: There is nothing to draw.
+        UsageError: The folder has no results, or they have another format.
     """
     path = folder / RESULTS_FILE
     header, results = read_results_file(path)
@@ -63,12 +63,12 @@
         raise UsageError(f"{folder}: expected a folder with results that lab run has written")
     notes = []
     if not path.read_bytes().endswith(b"\n"):
-        notes.append(f"{RESULTS_FILE}: the last line is cut off and left out")
+        notes.append(f"{RESULTS_FILE}: the last line is incomplete and was ignored")
     try:
         text = render_page(View(header, results, notes))
     except (KeyError, TypeError, ValueError, IndexError, AttributeError) as error:
         reason = f"{type(error).__name__}: {error}".splitlines()[0]
-        raise UsageError(f"{path}: expected results of this program's form ({reason})") from None
+        raise UsageError(f"{path}: expected results in this program's format ({reason})") from None
     page = folder / PAGE_FILE
     draft = page.with_suffix(".draft")
     draft.write_text(text, encoding="utf-8")
--- a/lab/page/html.py
+++ b/lab/page/html.py
@@ -1,11 +1,11 @@
-"""The page's HTML: its style, tables and small texts."""
+"""Building blocks of the report's HTML: style, tables and notes."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Sequence
 from html import escape
 
-NO_RESULTS = "<p>The results hold none of it.</p>"
+NO_RESULTS = "<p>The results contain no data for this section.</p>"
 STYLE = """
 body{font:15px/1.5 system-ui,sans-serif;color:#1c1c1c;background:#fff;max-width:1080px;margin:2em auto;
 padding:0 1em}
@@ -23,18 +23,23 @@
 
 
 def document(title: str, body: str) -> str:
-    """A whole document; the body is HTML, the title is not."""
+    """Return a complete HTML document.
+
+    Args:
+        title: The title, as plain text.
+        body: The body, as HTML.
+    """
     head = f'<meta charset="utf-8">\n<title>{escape(title)}</title>\n<style>{STYLE}</style>'
     return f'<!DOCTYPE html>\n<html lang="en">\n<head>\n{head}\n</head>\n<body>\n{body}\n</body>\n</html>\n'
 
 
 def table(head: Sequence[str], rows: Iterable[Sequence[str]], text_column: int = 0) -> str:
-    """A table; the cells of its rows are HTML.
+    """Return a table.
 
     Args:
-        head: Titles of the columns.
-        rows: Cells by row.
-        text_column: Number from 1 of a column that is aligned to the left; 0 for none.
+        head: Titles of the columns, as plain text.
+        rows: Rows of cells, as HTML.
+        text_column: Number, from 1, of a column to align to the left; 0 for none.
     """
 
     def row_html(tag: str, cells: Sequence[str]) -> str:
@@ -52,10 +57,10 @@
 
 
 def note(text: str) -> str:
-    """A paragraph in small print; `text` is HTML."""
+    """Return a paragraph in small print; `text` is HTML."""
     return f'<p class="note">{text}</p>'
 
 
 def count_noun(number: int, noun: str) -> str:
-    """A number of things."""
+    """Return a number with its noun in the singular or plural."""
     return f"{number} {noun}" + ("" if number == 1 else "s")
--- a/lab/page/plot_sections.py
+++ b/lab/page/plot_sections.py
@@ -1,4 +1,4 @@
-"""Sections that draw a run over time, latency by percentile, and load by endpoint and zone."""
+"""Report sections with plots over time, latency percentiles, and load by endpoint and zone."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 from lab.page.plots import GREY, RC_PARAMS, WIDTH, Plots, printable
 from lab.schedule import Floats
 
-MAX_ZONES = 12  # drawn; a fleet of more has the first ones drawn
-NINES = np.linspace(0.0, 3.0, 61)  # -log10 of the share above a percentile
+MAX_ZONES = 12  # only the first zones of a larger fleet are drawn
+NINES = np.linspace(0.0, 3.0, 61)  # percentiles to draw, each as -log10 of the share above it
 TABLE_PERCENTILES = (50, 90, 99, 99.9, 100)
-MIN_DRAWN_WORK_S = 0.1  # the palest colour
-LOAD_KINDS = (("waiting", "requests that wait", 1.0), ("work_ms", "work in hand, s", 1e-3))
+MIN_DRAWN_WORK_S = 0.1  # less work has the palest colour too
+LOAD_KINDS = (("waiting", "queued requests", 1.0), ("work_ms", "pending work, s", 1e-3))
 GUARD_TITLES = {
-    "open": "open breakers of a gateway",
-    "half-open": "half-open breakers of a gateway",
-    "limit": "limit of a gateway on what is out",
-    "shed": "share of the work that a gateway sheds",
+    "open": "open circuit breakers per gateway",
+    "half-open": "half-open circuit breakers per gateway",
+    "limit": "concurrency limit per gateway",
+    "shed": "share of work shed per gateway",
 }
 
 
 def served_weight(plots: Plots) -> str:
-    """Share of the weight that was served, by second of arrival."""
+    """Plot the share of the offered weight that was served, by second of arrival."""
     by_policy = plots.view.by_policy
     if not by_policy:
         return html.NO_RESULTS
@@ -45,16 +45,16 @@
             plots.draw_band(upper, policy, share)
         most_results = max(by_policy.values(), key=len)
         plots.draw_band(lower, None, np.array([r["worth_by_s"] for r in most_results])[:, :, 0] / 1e6)
-        title = "Share of the worth asked for that was served"
+        title = "Share of the offered weight that was served"
         upper.set(title=title, ylabel="share", ylim=(-0.02, 1.03))
-        title = "Worth asked for: the same for all"
-        lower.set(title=title, xlabel="second of arrival", ylabel="worth, millions")
+        title = "Offered weight: the same for all policies"
+        lower.set(title=title, xlabel="second of arrival", ylabel="weight, millions")
         lower.set_ylim(bottom=0)
         return plots.render_svg(figure)
 
 
 def latency(plots: Plots) -> str:
-    """Latency of what was served, by percentile."""
+    """Plot and tabulate the latency of the requests served, by percentile."""
     rows, curves = [], {}
     percentiles = 100.0 * (1.0 - 10.0**-NINES)
     for policy, results in plots.view.by_policy.items():
@@ -80,25 +80,25 @@
         axes.yaxis.set_major_formatter("{x:g}")
         axes.yaxis.set_minor_formatter(lambda value, _: f"{value:g}" if f"{value:e}"[0] in "25" else "")
         picture = plots.render_svg(figure)
-    head = ("policy", "p50", "p90", "p99", "p99.9", "most")
-    note = html.note("In ms, of all seeds: from the HDR histograms of the requests served.")
+    head = ("policy", "p50", "p90", "p99", "p99.9", "max")
+    note = html.note("In ms, over all seeds, from the HDR histograms of the requests served.")
     return picture + html.table(head, rows) + note
 
 
 def load(plots: Plots) -> str:
-    """Load by zone, and by endpoint of the first seed."""
+    """Plot the load by zone, and by endpoint for the first seed."""
     sampled = plots.view.select(lambda result: "zone_load" in result)
     if not sampled:
         return html.NO_RESULTS
     with matplotlib.rc_context(RC_PARAMS):
         parts = ["<h3>By zone</h3>", _plot_zones(plots, sampled)]
         seed = next(iter(sampled.values()))[0]["seed"]
-        parts += [f"<h3>By server, seed {seed}</h3>", _plot_endpoints(plots, sampled)]
+        parts += [f"<h3>By endpoint, seed {seed}</h3>", _plot_endpoints(plots, sampled)]
     parts.append(
         html.note(
-            "One sample a second. Work is that of a core of speed 1: what waits, and what is "
-            f"left of what runs. At most the first {MAX_ZONES} zones and 100 servers are drawn; a zone "
-            "counts all its servers."
+            "One sample per second. Pending work is the remaining work of queued and running requests "
+            f"on a core of speed 1. Only the first {MAX_ZONES} zones and 100 endpoints are drawn; a zone "
+            "includes all its endpoints."
         )
     )
     return "\n".join(parts)
@@ -136,22 +136,22 @@
             extent=(0.5, values.shape[1] + 0.5, len(values) - 0.5, -0.5),
         )
         axes.grid(False)
-        axes.set(ylabel="server")
+        axes.set(ylabel="endpoint")
         axes.set_title(printable(policy), color=plots.view.colors[policy], loc="left", fontweight="bold")
     column[-1].set_xlabel("second")
     color_scale = figure.colorbar(shown, ax=list(column), pad=0.01, aspect=5 * figure.get_figheight())
     ticks = [tick for n in range(-1, 6) for m in (1, 2, 5) if (tick := m * 10.0**n) <= max_work_s]
     color_scale.set_ticks(ticks, labels=[f"{tick:g}" for tick in ticks])
     color_scale.ax.minorticks_off()
-    color_scale.set_label("work in hand, s (0.1 or less is palest)")
+    color_scale.set_label("pending work, s (palest: 0.1 or less)")
     return plots.render_svg(figure, legend=False)
 
 
 def guards(plots: Plots) -> str:
-    """Breakers and limits of the gateways, where the policy has them."""
+    """Plot the gateways' circuit breakers, limits and load shedding, for policies that have them."""
     guarded = plots.view.select(lambda result: bool(result.get("guards")))
     unguarded_policies = [escape(name) for name in plots.view.policies if name not in guarded]
-    note = html.note(f"None to draw for {', '.join(unguarded_policies)}.") if unguarded_policies else ""
+    note = html.note(f"No data for {', '.join(unguarded_policies)}.") if unguarded_policies else ""
     if not guarded:
         return html.NO_RESULTS + note
     with matplotlib.rc_context(RC_PARAMS):
@@ -160,14 +160,14 @@
         for axes, (kind, title) in zip(panels, GUARD_TITLES.items(), strict=True):
             _plot_guard(plots, axes, kind, guarded)
             top = max(0.1 if kind == "shed" else 1.0, axes.get_ylim()[1])
-            axes.set(title=title, ylim=(-0.02 * top, top))  # a line at zero is seen
+            axes.set(title=title, ylim=(-0.02 * top, top))  # keeps a line at zero visible
             if not any(np.any(r["guards"][kind]) for results in guarded.values() for r in results):
                 where = {"transform": axes.transAxes, "ha": "center", "color": GREY}
-                axes.text(0.5, 0.5, "none at any second", **where)
+                axes.text(0.5, 0.5, "zero throughout", **where)
             if axes.get_subplotspec().is_last_row():
                 axes.set_xlabel("second")
         picture = plots.render_svg(figure, guarded)
-    text = "The line is the mean of the gateways, the dots that with the most; both are means of the seeds."
+    text = "Solid: mean over the gateways; dotted: maximum over the gateways; both are means over the seeds."
     return f"{picture}{html.note(text)}{note}"
 
 
--- a/lab/page/plots.py
+++ b/lab/page/plots.py
@@ -18,8 +18,8 @@
 from lab.schedule import Floats
 
 GREY = "#555555"
-WIDTH = 9.6  # inches
-LEGEND_CHARACTERS = 150  # in a line of the legend
+WIDTH = 9.6  # width of a figure in inches
+LEGEND_CHARACTERS = 150  # length of a line of the legend in characters
 RC_PARAMS: dict[Any, Any] = {
     "svg.hashsalt": "rosedeal",
     "svg.fonttype": "none",
@@ -37,7 +37,7 @@
 
 
 class Plots:
-    """Draws the plots of one page, so that no two share an identifier."""
+    """Draws the plots of one page; element ids are unique within the page."""
 
     def __init__(self, view: View) -> None:
         self.view = view
@@ -46,13 +46,13 @@
     def draw_band(
         self, axes: Axes, policy: str | None, values: Floats, positions: Floats | None = None
     ) -> None:
-        """Draw the mean with the range of values; a value that is not a number is left out.
+        """Draw a line for the mean over the seeds and a band for their range; NaN values are ignored.
 
         Args:
-            axes: Where.
-            policy: Whose colour; None for grey.
-            values: One row a seed.
-            positions: Places of the columns, by default the seconds from 1.
+            axes: Axes to draw on.
+            policy: Policy that determines the colour; None for grey.
+            values: Values with one row per seed.
+            positions: Horizontal positions of the columns; by default, seconds counted from 1.
         """
         line_color = GREY if policy is None else self.view.colors[policy]
         valid = np.ma.masked_invalid(values)
@@ -70,14 +70,14 @@
         columns: int,
         axis_limit: float | None = None,
     ) -> str:
-        """Draw a panel a name, with a bar a policy to the mean, and a whisker over the seeds' range.
+        """Draw a panel per metric, with a bar per policy for the mean and a whisker for the seeds' range.
 
         Args:
-            names: Of the figures.
-            titles: Of the panels.
-            get_value: The figure of a name in a result.
-            columns: Of panels.
-            axis_limit: What every axis reaches to; without it, each reaches to its own.
+            names: Names of the metrics.
+            titles: Titles of the panels.
+            get_value: Returns the metric with a name from a result.
+            columns: Number of panels side by side.
+            axis_limit: Upper end of the values' axis in all panels; None to fit each panel to its values.
         """
         by_policy = self.view.by_policy
         with matplotlib.rc_context(RC_PARAMS):
@@ -103,7 +103,7 @@
         get_value: Callable[[Result, str], float | None],
         axis_limit: float | None,
     ) -> float:
-        """Draw the bars of one figure; returns how far they reach."""
+        """Draw the bars of one metric and return the largest value."""
         max_value = axis_limit or 0.0
         for row, (policy, results) in enumerate(self.view.by_policy.items()):
             values = [v for r in results if (v := get_value(r, name)) is not None] or [0.0]
@@ -116,7 +116,7 @@
         return max_value
 
     def render_svg(self, figure: Figure, policies: Iterable[str] | None = None, legend: bool = True) -> str:
-        """A figure as inline SVG, without date, outside reference or identifier that another one has."""
+        """Return a figure as inline SVG, without date or external reference, and with unique element ids."""
         names = list(self.view.by_policy if policies is None else policies)
         if legend:
             columns = max(1, min(len(names), LEGEND_CHARACTERS // (max(map(len, names)) + 8)))
@@ -133,5 +133,5 @@
 
 
 def printable(name: object) -> str:
-    """A name as it can be drawn."""
+    """Return a name with each unprintable character replaced by a question mark."""
     return "".join(c if c.isprintable() else "?" for c in str(name))
--- a/lab/page/table_sections.py
+++ b/lab/page/table_sections.py
@@ -1,4 +1,4 @@
-"""Sections that set policies side by side: figures, broken rules, costs."""
+"""Report sections that compare policies: metrics, broken rules and costs."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
 from lab.page.plots import RC_PARAMS, WIDTH, Plots
 from lab.page.view import View
 
-MAX_VIOLATIONS = 200  # in the table
+MAX_VIOLATIONS = 200  # rows of the table of violations
 RULE_DESCRIPTIONS = (
-    "a fault: an unknown request or server is named",
-    "each request has one final answer in time, and nothing is sent after it",
-    "what may have run is neither sent again nor refused where its effect forbids it",
-    "nothing is sent to a server that is known to drain or to be gone",
-    "no cold server is felled by gateways that knew of its start",
+    "an invalid action: it refers to an unknown request or endpoint",
+    "each request gets one final answer by its deadline, and no attempt is sent after it",
+    "a request that may have run is neither repeated nor rejected if its effect forbids that",
+    "no attempt is sent to an endpoint that is known to drain or to be gone",
+    "gateways that know of an endpoint's start do not overload it during slow start",
 )
 PER_RUN_COSTS = {
-    "falls": "servers fallen, a day",
-    "chokes": "servers choked, a day",
+    "falls": "endpoint crashes per run",
+    "chokes": "endpoint chokes per run",
     "connections": "open connections",
-    "wasted_work": "wasted work, of that offered",
-}  # all others are counted by request
+    "wasted_work": "wasted share of offered work",
+}  # all other costs are divided by the number of requests
 
 
 def side_by_side(plots: Plots) -> str:
-    """The figures of all policies, and their differences."""
+    """Tabulate and plot the metrics of all policies, and compare them with the first policy."""
     view = plots.view
     rows = [_summary_row(view, policy) for policy in view.policies]
-    text = "Shares of the worth asked for (G, whole, worst) or of the requests (late, refused, failed); "
-    text += "attempts and handshakes a request; broken rules in all days."
+    text = "Shares of the offered weight (G, whole, worst) or of the requests (late, refused, failed); "
+    text += "attempts and handshakes per request; violations of rules in all runs."
     parts = [html.table(summary.COLUMNS, rows), html.note(text)]
     names = ("G", "whole", "worst_window", "worst_class", "worst_tenant")
     titles = ("G", "whole", "worst 10 s", "worst class", "worst tenant")
@@ -60,7 +60,7 @@
             format_metric(sum(r["costs"][kind] for r in results) / request_count if request_count else None)
             for kind in ("attempts", "handshakes")
         ),
-        f"{broken}" + (f", {html.count_noun(crashed, 'day')} crashed" if crashed else ""),
+        f"{broken}" + (f", {html.count_noun(crashed, 'run')} crashed" if crashed else ""),
     ]
 
 
@@ -71,17 +71,17 @@
         pair = (results_of_policy(view.results, first), results_of_policy(view.results, other))
         compared += [[escape(cell) for cell in row] for row in comparison.compare_results(*pair, other)[:2]]
     return [
-        f"<h3>Against {escape(first)}, in pairs by seed</h3>",
+        f"<h3>Compared with {escape(first)}, in pairs by seed</h3>",
         html.table(comparison.COMPARE_COLUMNS, compared),
         html.note(
-            "Bootstrap 95 % interval of the mean difference; a verdict only where it "
-            f"excludes nought, and from {comparison.MIN_PAIRS} pairs on."
+            "95 % bootstrap interval of the mean difference; a verdict is given only where it "
+            f"excludes zero and there are at least {comparison.MIN_PAIRS} pairs."
         ),
     ]
 
 
 def broken_rules(plots: Plots) -> str:
-    """The violations by time, and a table of them."""
+    """List the rules and the crashed runs, and plot and tabulate the violations."""
     view = plots.view
     violations = [
         (r["policy"], r["seed"], violation)
@@ -98,16 +98,16 @@
         rows = [[view.label(r["policy"]), str(r["seed"]), escape(str(r["crash"]))] for r in crashes]
         parts.append(html.table(("policy", "seed", "crashed with"), rows, text_column=3))
     if not violations:
-        text = f"None was broken in {html.count_noun(runs, 'day')}." if runs else "No day came to its end."
+        text = f"No rule was broken in {html.count_noun(runs, 'run')}." if runs else "No run was completed."
         parts.append(f"<p>{text}</p>")
         return "\n".join(parts)
     parts.append(_plot_violations(plots, violations))
     parts.append(
-        f"<p>{total} broken in {html.count_noun(runs, 'day')}, of which the first of a day are named:</p>"
+        f"<p>{total} violations in {html.count_noun(runs, 'run')}; the first ones of each run are listed:</p>"
     )
     parts.append(_violation_table(view, violations[:MAX_VIOLATIONS]))
     if len(violations) > MAX_VIOLATIONS:
-        parts.append(html.note(f"{len(violations) - MAX_VIOLATIONS} more are named in {RESULTS_FILE}."))
+        parts.append(html.note(f"{len(violations) - MAX_VIOLATIONS} more are listed in {RESULTS_FILE}."))
     return "\n".join(parts)
 
 
@@ -123,7 +123,7 @@
         ]
         for policy, seed, violation in violations
     ]
-    head = ("policy", "seed", "rule", "second", "gateway", "what")
+    head = ("policy", "seed", "rule", "second", "gateway", "violation")
     return html.table(head, rows, text_column=6)
 
 
@@ -140,19 +140,19 @@
         rules = sorted({1, 2, 3, 4} | {violation["rule"] for _, _, violation in violations})
         axes.set(xlabel="second", ylim=(4.6, min(rules) - 0.6))
         axes.set_xlim(0, max(len(r["worth_by_s"]) for results in by_policy.values() for r in results))
-        axes.set_yticks(rules, [f"rule {rule}" if rule else "fault" for rule in rules])
+        axes.set_yticks(rules, [f"rule {rule}" if rule else "invalid" for rule in rules])
         return plots.render_svg(figure)
 
 
 def costs(plots: Plots) -> str:
-    """What each policy costs, by kind."""
+    """Plot the costs of each policy, by kind."""
     by_policy = plots.view.by_policy
     if not by_policy:
         return html.NO_RESULTS
     kinds = list(
         dict.fromkeys(kind for results in by_policy.values() for r in results for kind in r["costs"])
     )
-    titles = [PER_RUN_COSTS.get(kind, f"{kind.replace('_', ' ')} a request") for kind in kinds]
+    titles = [PER_RUN_COSTS.get(kind, f"{kind.replace('_', ' ')} per request") for kind in kinds]
     return plots.draw_bars(kinds, titles, _cost_value, columns=3)
 
 
--- a/lab/page/view.py
+++ b/lab/page/view.py
@@ -1,4 +1,4 @@
-"""The results of a folder as the page shows them: by policy, each with a colour."""
+"""The results of a folder as the report shows them: by policy, each with a colour."""
 
 from __future__ import annotations
 
@@ -12,7 +12,16 @@
 
 
 class View:
-    """Results in order of policy and seed."""
+    """Results in order of policy and seed.
+
+    Attributes:
+        header: The header of the result file.
+        notes: Notes on incomplete results.
+        policies: Names of the policies.
+        colors: The colour of each policy.
+        results: All results, crashed runs included.
+        by_policy: Results of completed runs, by policy.
+    """
 
     def __init__(self, header: Result, results: list[Result], notes: list[str]) -> None:
         self.header = header
@@ -31,15 +40,15 @@
         }
 
     def color_legend(self) -> str:
-        """The colours of all policies."""
+        """Return the policies' names with their colours, as HTML."""
         return " &#160;\n".join(map(self.label, self.policies))
 
     def label(self, policy: str) -> str:
-        """A policy's name with its colour."""
+        """Return a policy's name with a dot in its colour, as HTML."""
         dot = f'<span class="dot" style="background:{self.colors[policy]}"></span>'
         return f'<span class="name">{dot}{escape(policy)}</span>'
 
     def select(self, predicate: Callable[[Result], bool]) -> dict[str, list[Result]]:
-        """By policy, the results that are wanted, without policies that have none."""
+        """Return the results that satisfy a predicate, by policy, without policies that have none."""
         selected = {name: [r for r in results if predicate(r)] for name, results in self.by_policy.items()}
         return {name: results for name, results in selected.items() if results}
--- a/tests/lab/model/mutants.py
+++ b/tests/lab/model/mutants.py
@@ -1,4 +1,4 @@
-"""Policies that break the rules, each in its own way."""
+"""Policies that break the rules, each in a different way, to test that the rules detect it."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class ResendsUnsafe(ReferencePolicy):
-    """Sends again what may have run, whatever its effect."""
+    """Retries requests that are not idempotent though they may have been executed."""
 
     def on_attempt_end(self, now_us: int, event: AttemptEnded) -> list[Action]:
         request = self.open_requests.get(event.request_id)
@@ -59,7 +59,7 @@
 
 
 class KeepsEveryEndpoint(ReferencePolicy):
-    """Goes on with every endpoint that a list has named."""
+    """Keeps sending to every endpoint that was ever listed."""
 
     def on_list(self, now_us: int, event: EndpointListReceived) -> list[Action]:
         earlier = self.ready_endpoints
@@ -69,7 +69,7 @@
 
 
 class NeverSubscribes(ReferencePolicy):
-    """Asks for no list, so that it counts as notified."""
+    """Never requests a list; after `must_ask_s` it counts as notified of the changes anyway."""
 
     def on_list(self, now_us: int, event: EndpointListReceived) -> list[Action]:
         super().on_list(now_us, event)
@@ -77,7 +77,7 @@
 
 
 class FloodsNewestEndpoint(ReferencePolicy):
-    """Sends all to the endpoint that has started last."""
+    """Sends all requests to the endpoint that started last."""
 
     newest = 0
 
@@ -92,7 +92,7 @@
 
 
 class SendsToRestartedEndpoints(NeverSubscribes):
-    """Sends all to two endpoints, and is never notified that they have started anew."""
+    """Sends all requests to one endpoint per gateway, and never learns that it has restarted."""
 
     def choose_endpoint(self, endpoints: list[int]) -> int:
         return endpoints[self.settings.gateway_index % len(endpoints)]
--- a/tests/lab/model/test_comparison.py
+++ b/tests/lab/model/test_comparison.py
@@ -1,4 +1,4 @@
-"""Results compared in pairs by seed."""
+"""Comparison of results in pairs by seed."""
 
 from __future__ import annotations
 
@@ -13,8 +13,9 @@
 
 
 def test_bootstrap_interval_matches_the_normal_approximation() -> None:
+    """Equal differences give an interval of zero width; many different ones give 1.96 standard errors."""
     assert comparison.bootstrap_interval([0.25] * 8) == (0.25, 0.25, 0.25)
-    values = [0.5 + (1.0 if n % 2 else -1.0) for n in range(400)]  # mean 0.5, deviation 1
+    values = [0.5 + (1.0 if n % 2 else -1.0) for n in range(400)]  # mean 0.5, standard deviation 1
     mean, low, high = comparison.bootstrap_interval(values)
     assert mean == pytest.approx(0.5)
     assert low == pytest.approx(0.5 - 1.96 / 20, abs=0.01)
@@ -40,6 +41,8 @@
 
 
 def test_folders_are_compared_in_pairs_by_seed(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    """Seeds that only one folder has are left out, and too few pairs or another scenario give no verdict."""
+
     def fill(name: str, offsets: dict[int, float]) -> str:
         folder = tmp_path / name
         folder.mkdir()
--- a/tests/lab/model/test_experiment.py
+++ b/tests/lab/model/test_experiment.py
@@ -1,4 +1,4 @@
-"""Runs over seeds and policies, cut off and continued."""
+"""Runs over seeds and policies, including interrupted ones that resume."""
 
 from __future__ import annotations
 
@@ -16,6 +16,7 @@
 
 
 def test_results_do_not_depend_on_jobs_or_policy_order(tmp_path: Path) -> None:
+    """Worker processes finish in any order; the stored file must not show it."""
     (tmp_path / "tiny.toml").write_text(TINY)
     texts = []
     for jobs, policy_names in (("1", ("random", "rosedeal")), ("3", ("rosedeal", "random"))):
@@ -31,6 +32,7 @@
 def test_an_interrupted_run_resumes_from_its_stored_results(
     tmp_path: Path, played_runs: list[tuple[str, int]]
 ) -> None:
+    """The file is cut within its header, after two results or within a third; only missing runs are run."""
     plan = experiment.ExperimentPlan(parse_tiny(), ("random", "round-robin"), 2)
     reported: list[object] = []
     experiment.run_plan(plan, tmp_path, 1, reported.append)
@@ -51,6 +53,7 @@
 
 @pytest.mark.usefixtures("played_runs")
 def test_results_of_another_scenario_or_other_knobs_are_not_mixed(tmp_path: Path) -> None:
+    """Figures of different scenarios or knobs in one file would be averaged together."""
     experiment.run_plan(
         experiment.ExperimentPlan(parse_tiny(), ("random",), 1), tmp_path, 1, lambda _result: None
     )
@@ -70,5 +73,5 @@
     (tmp_path / "tiny.toml").write_text(TINY)
     arguments = ("--policy", "random", "--policy", "round-robin", "--seeds", "1", "--out", str(tmp_path))
     assert call_lab("run", str(tmp_path / "tiny.toml"), *arguments) == 1
-    assert "random: crashed, 1 named; seed 1: AttributeError" in capsys.readouterr().out
+    assert "random: crashed, 1 recorded; seed 1: AttributeError" in capsys.readouterr().out
     assert len(played_runs) == 2
--- a/tests/lab/model/test_knobs.py
+++ b/tests/lab/model/test_knobs.py
@@ -1,4 +1,4 @@
-"""Knobs: constants that a run changes."""
+"""Knobs: constants that a run overrides."""
 
 from __future__ import annotations
 
@@ -13,8 +13,9 @@
 
 
 def test_a_knob_is_set_in_every_module_that_imports_the_constant(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A module that imports the constant by name keeps the old value if only the defining one changes."""
     for module in (outliers, circuit_breaker):
-        monkeypatch.setattr(module, "RING_SIZE", circuit_breaker.RING_SIZE)  # put back after the test
+        monkeypatch.setattr(module, "RING_SIZE", circuit_breaker.RING_SIZE)  # restored after the test
     before = experiment.simulate(parse_tiny(), "rosedeal", 1)
     apply_knobs([parse_knob("choice.RING=5")])
     assert vars(outliers)["RING_SIZE"] == circuit_breaker.RING_SIZE == 5
--- a/tests/lab/model/test_rules.py
+++ b/tests/lab/model/test_rules.py
@@ -1,4 +1,4 @@
-"""The rules: mutants that break one are named, and policies that may do a thing are not."""
+"""The rules: policies that break one are reported, and what the rules allow is not."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
 @pytest.mark.parametrize(
     ("mutant", "rule", "text"),
     [
-        (AnswersTwice, 1, "answered twice"),
-        (NeverAnswers, 1, "no final answer in time"),
-        (SendsAfterEnd, 1, "sent on after its end"),
-        (ResendsUnsafe, 2, "is unsafe, may have run and was sent again"),
-        (RefusesAfterExecution, 2, "may have run and was refused"),
-        (SendsTwice, 2, "two attempts out"),
-        (KeepsEveryEndpoint, 3, "after it was to stop"),
-        (NeverSubscribes, 3, "after it was to stop"),
-        (FloodsNewestEndpoint, 4, "fell over, cold"),
+        (AnswersTwice, 1, "was answered twice"),
+        (NeverAnswers, 1, "no final answer at its deadline"),
+        (SendsAfterEnd, 1, "was sent after its end"),
+        (ResendsUnsafe, 2, "is not idempotent, may have run and was sent again"),
+        (RefusesAfterExecution, 2, "may have run and was rejected"),
+        (SendsTwice, 2, "two attempts in flight"),
+        (KeepsEveryEndpoint, 3, "after the notice of its stop"),
+        (NeverSubscribes, 3, "after the notice of its stop"),
+        (FloodsNewestEndpoint, 4, "crashed during slow start"),
     ],
 )
 def test_a_policy_that_breaks_a_rule_is_reported(mutant: type[ReferencePolicy], rule: int, text: str) -> None:
@@ -60,7 +60,7 @@
 
 
 def test_a_crash_caused_by_gateways_not_notified_of_the_start_breaks_no_rule() -> None:
-    """It watches no list, and need not ask before the end."""
+    """The gateways request no list, and `must_ask_s` exceeds the run, so they never count as notified."""
     scenario = parse_tiny(RELEASE + BURST)
     discovery = msgspec.structs.replace(scenario.discovery, must_ask_s=100.0)
     world = play(msgspec.structs.replace(scenario, discovery=discovery), SendsToRestartedEndpoints)
--- a/tests/lab/model/test_score.py
+++ b/tests/lab/model/test_score.py
@@ -10,6 +10,8 @@
 
 
 def test_score_is_the_share_of_weight_served_in_time() -> None:
+    """Answers in time count in full, late answers count a quarter, and rejections count nothing."""
+
     class RefusesAll(ReferencePolicy):
         def handle(self, _now_us: int, event: Event) -> list[Action]:
             return [Reject(event.request_id)] if isinstance(event, RequestArrived) else []
@@ -25,7 +27,7 @@
     kind = kind.replace("[0.9, 1.1]", "[0.05, 0.05]").replace("rate_per_s = 40.0", "rate_per_s = 2.0")
     late = score.compute_result(play(scenario_files.parse(kind, "tiny.toml"), ReferencePolicy))
     assert late["shares"]["late"] > 0.8
-    assert late["G"] < 0.45, "a quarter of the weight is left"
+    assert late["G"] < 0.45, "a late answer keeps a quarter of its weight"
 
 
 def test_samples_cover_each_second_of_a_run() -> None:
--- a/tests/lab/page/test_document.py
+++ b/tests/lab/page/test_document.py
@@ -1,4 +1,4 @@
-"""The report's page: sections, pictures, escapes, errors."""
+"""The report page: sections, pictures, escaping, errors."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Outline(HTMLParser):
-    """Sections, and whether each tag that is opened is closed in its turn."""
+    """Collects sections, pictures and ids, and asserts that tags are properly nested."""
 
     def __init__(self, text: str) -> None:
         super().__init__()
@@ -48,6 +48,7 @@
 def test_a_report_has_a_picture_in_each_section_and_no_external_reference(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The page must be complete in one file, and the same each time it is written."""
     monkeypatch.setitem(POLICIES, "random", AnswersTwice)
     plan = experiment.ExperimentPlan(parse_tiny(RELEASE), ("rosedeal", "random"), 2)
     experiment.run_plan(plan, tmp_path, 1, lambda _result: None)
@@ -60,8 +61,8 @@
     ]  # fmt: skip
     assert set(outline.pictures) == set(outline.sections)
     assert len(set(outline.ids)) == len(outline.ids)
-    assert "answered twice" in text
-    assert "the operators' bench is the judge" in text
+    assert "was answered twice" in text
+    assert "the operators' benchmark is authoritative" in text
     assert not any(
         word in text for word in ("mathdefault", "src=", "@import", "<script", "<link", 'href="http')
     )
@@ -73,6 +74,7 @@
 def test_a_report_escapes_names_and_mentions_a_line_left_out(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
+    """Names come from scenario files and may hold HTML, TeX or control characters."""
     name = "<i>$_{&amp;\0"
     path = tmp_path / RESULTS_FILE
     result = experiment.simulate(parse_tiny(), "random", 1) | {"policy": name, "zones": [name, name]}
@@ -84,7 +86,7 @@
     assert Outline(text).sections
     assert "<i>" not in text
     assert "&lt;i&gt;$_{&amp;amp;" in text
-    note = "results.jsonl: the last line is cut off and left out"
+    note = "results.jsonl: the last line is incomplete and was ignored"
     assert capsys.readouterr().err == f"lab: {note}\n"
     assert note in text
 
@@ -95,7 +97,7 @@
         (None, "expected a folder with results that lab run has written"),
         ('{"scenario": "x"}\n', "expected a folder with results that lab run has written"),
         ('{"scenario": "x"}\n{"poli\n{}\n', "line 2: expected a result as JSON"),
-        ('{"scenario": "x"}\n{"policy": "a", "seed": 1}\n', "expected results of this program's form"),
+        ('{"scenario": "x"}\n{"policy": "a", "seed": 1}\n', "expected results in this program's format"),
     ],
 )
 def test_a_report_without_usable_results_fails_with_one_line(
