--- a/lab/model/experiment.py
+++ b/lab/model/experiment.py
@@ -19,7 +19,7 @@
 from lab.model.knobs import Knob, apply_knobs
 from lab.model.results import RESULTS_FILE, Result, read_results_file, write_results_file
 from lab.model.scenario import Scenario
-from lab.model.world import World
+from lab.model.simulation import Simulation
 
 
 def initialize_worker(knobs: Iterable[Knob]) -> None:
@@ -71,9 +71,9 @@
 def simulate(scenario: Scenario, policy: str, seed: int) -> Result:
     """Run a scenario once; an exception of the policy is recorded in place of the figures."""
     try:
-        world = World(scenario, policies.POLICIES[policy], seed)
-        world.play()
-        figures = score.compute_result(world)
+        simulation = Simulation(scenario, policies.POLICIES[policy], seed)
+        simulation.run()
+        figures = score.compute_result(simulation)
     except Exception as error:
         figures = {"crash": f"{type(error).__name__}: {error}"}
     return {"policy": policy, "seed": seed, **figures}
--- a/lab/model/samples.py
+++ b/lab/model/samples.py
@@ -16,7 +16,7 @@
 def pending_work_ms(endpoint: ModelEndpoint) -> float:
     """Return the remaining work of queued and running jobs, in ms on a core of speed 1."""
     queued = sum(job.total_us for job in endpoint.queue if job.state is JobState.QUEUED)
-    running = sum(job.total_us - endpoint.done_us(job) for job in endpoint.running)
+    running = sum(job.total_us - endpoint.completed_work_us(job) for job in endpoint.running)
     return (queued + running) / 1e3
 
 
@@ -41,11 +41,11 @@
         Load is in whole requests and whole ms, limits are in requests, load shedding is a share.
         """
         values_by_kind = {
-            "waiting": [float(endpoint.waiting) for endpoint in fleet.endpoints],
+            "waiting": [float(endpoint.queued_count) for endpoint in fleet.endpoints],
             "work_ms": [pending_work_ms(endpoint) for endpoint in fleet.endpoints],
         }
         for kind, values in values_by_kind.items():
-            zone_totals = [0.0] * fleet.zones
+            zone_totals = [0.0] * fleet.zone_count
             for endpoint, value in zip(fleet.endpoints, values, strict=True):
                 zone_totals[endpoint.zone] += value
             self.endpoint_load[kind].append([round(value) for value in values[:MAX_SAMPLED_ENDPOINTS]])
--- a/lab/model/score.py
+++ b/lab/model/score.py
@@ -11,10 +11,10 @@
 
 import numpy as np
 
-from lab.child import Hist
+from lab.child import Histogram
 from lab.model.engine import START_US
 from lab.model.requests import RequestEnd
-from lab.model.world import World
+from lab.model.simulation import Simulation
 from lab.schedule import Floats
 
 WINDOW_S = 10
@@ -54,7 +54,7 @@
     by_class: Floats
     by_tenant: Floats
     end_counts: Counter[str]
-    latency: Hist
+    latency: Histogram
 
     def parts(self) -> dict[str, float]:
         """Return the parts of the score, each a share of the offered weight."""
@@ -73,28 +73,28 @@
         }
 
 
-def compute_totals(world: World) -> RunTotals:
+def compute_totals(simulation: Simulation) -> RunTotals:
     """Add up the weight of all requests; costs are not subtracted."""
-    workload, traffic = world.workload, world.scenario.traffic
-    seconds = int(np.ceil(world.scenario.seconds))
+    workload, traffic = simulation.workload, simulation.scenario.traffic
+    seconds = int(np.ceil(simulation.scenario.seconds))
     totals = RunTotals(
         np.zeros(seconds),
         np.zeros(seconds),
         np.zeros((len(traffic.classes), 2)),
         np.zeros((len(traffic.tenants), 2)),
         Counter(),
-        Hist(),
+        Histogram(),
     )
-    for row, end in enumerate(world.record.ends):
+    for row, end in enumerate(simulation.record.ends):
         class_index, weight = workload.request_class[row], workload.weight[row]
         request_class, second = traffic.classes[class_index], (workload.times_us[row] - START_US) // 1_000_000
         served_weight, end_kind = 0.0, end.value
         if end is RequestEnd.SERVED:
-            latency_us = world.record.latency_us[row]
+            latency_us = simulation.record.latency_us[row]
             in_time = latency_us <= request_class.latency_objective_ms * 1e3
             served_weight = weight * (1.0 if in_time else request_class.late_weight_share)
             end_kind = "in_time" if in_time else "late"
-            totals.latency.add(latency_us)
+            totals.latency.record(latency_us)
         totals.end_counts[end_kind] += 1
         totals.offered[second] += weight
         totals.served[second] += served_weight
@@ -104,43 +104,43 @@
     return totals
 
 
-def costs(world: World) -> dict[str, float]:
+def costs(simulation: Simulation) -> dict[str, float]:
     """Return the costs of the run, by kind."""
-    record, endpoints = world.record, world.fleet.endpoints
-    offered_us = float(sum(world.workload.work_us))
+    record, endpoints = simulation.record, simulation.fleet.endpoints
+    offered_us = float(sum(simulation.workload.work_us))
     worked_us = sum(endpoint.worked_us for endpoint in endpoints)
     return {kind: record.costs[kind] for kind in COUNTED_COSTS} | {
-        "list_lines": world.registry.lines,
-        "list_calls": world.registry.calls,
+        "list_lines": simulation.registry.sent_entries,
+        "list_calls": simulation.registry.call_count,
         "connections": float(np.mean(record.open_connections)) if record.open_connections else 0.0,
         "wasted_work": ratio(worked_us - record.useful_work_us, offered_us),
-        "chokes": sum(endpoint.chokes for endpoint in endpoints),
+        "chokes": sum(endpoint.congestion_count for endpoint in endpoints),
     }
 
 
-def compute_result(world: World) -> dict[str, Any]:
+def compute_result(simulation: Simulation) -> dict[str, Any]:
     """Return all figures of a completed run, under the keys of stored results."""
-    totals = compute_totals(world)
-    parts, count, latency = totals.parts(), len(world.record.ends), totals.latency
-    weights = {name: getattr(world.scenario.objective, name) for name in parts}
+    totals = compute_totals(simulation)
+    parts, count, latency = totals.parts(), len(simulation.record.ends), totals.latency
+    weights = {name: getattr(simulation.scenario.objective, name) for name in parts}
     total_weight = sum(weights.values()) or 1.0
     return {
         "G": sum(parts[name] * weight for name, weight in weights.items()) / total_weight,
         **parts,
         "asked": count,
         "shares": {end_kind: totals.end_counts[end_kind] / count if count else 0.0 for end_kind in END_KINDS},
-        "p50_ms": latency.at(50) if latency.count else None,
-        "p99_ms": latency.at(99) if latency.count else None,
-        "latency": latency.text(),
-        "costs": costs(world),
-        "broken": {"count": world.rules.violation_count, "named": world.rules.violations},
+        "p50_ms": latency.percentile_ms(50) if latency.count else None,
+        "p99_ms": latency.percentile_ms(99) if latency.count else None,
+        "latency": latency.encode(),
+        "costs": costs(simulation),
+        "broken": {"count": simulation.rules.violation_count, "named": simulation.rules.violations},
         "worth_by_s": [
             [round(offered), round(served)]
             for offered, served in zip(totals.offered.tolist(), totals.served.tolist(), strict=True)
         ],
-        "zones": list(world.scenario.zones),
-        "server_load": world.samples.endpoint_load,
-        "zone_load": world.samples.zone_load,
-        "guards": world.samples.guards,
-        "events": world.clock.events,
+        "zones": list(simulation.scenario.zones),
+        "server_load": simulation.samples.endpoint_load,
+        "zone_load": simulation.samples.zone_load,
+        "guards": simulation.samples.guards,
+        "events": simulation.clock.events,
     }
--- a/lab/page/table_sections.py
+++ b/lab/page/table_sections.py
@@ -24,7 +24,7 @@
 )
 PER_RUN_COSTS = {
     "falls": "endpoint crashes per run",
-    "chokes": "endpoint chokes per run",
+    "chokes": "congestion events per run",
     "connections": "open connections",
     "wasted_work": "wasted share of offered work",
 }  # all other costs are divided by the number of requests
--- a/tests/gateway/test_process_start.py
+++ b/tests/gateway/test_process_start.py
@@ -42,44 +42,47 @@
 
 
 INVALID_CONFIGURATIONS: list[tuple[object, str]] = [
-    (configuration_without("name"), "name: is missing; expected text"),
+    (configuration_without("name"), "name: is missing; expected a string"),
     (configuration_without("listen"), f"listen: {EXPECTED_ADDRESS}"),
     (configuration_without("discovery"), f"discovery: {EXPECTED_ADDRESS}"),
     (configuration_without("settings"), "settings: is missing"),
-    (configuration({}, "127.0.0.1:1", settings={"lanes": []}), "settings.lanes: expected at least one"),
+    (
+        configuration({}, "127.0.0.1:1", settings={"lanes": []}),
+        "settings.lanes: expected at least one request class, got none",
+    ),
     (configuration({}, "127.0.0.1:1", seed="none"), "seed: expected a number"),
     (
         configuration({}, "127.0.0.1:1", limits={"sockets": 3}),
-        "limits.sockets: expected a whole number of",
+        "limits.sockets: expected an integer of",
     ),
-    (configuration({}, "127.0.0.1:1", limits=7), "limits: expected an object, got a whole number"),
+    (configuration({}, "127.0.0.1:1", limits=7), "limits: expected an object, got an integer"),
     (configuration({}, "127.0.0.1:1", known=[]), "known: expected an object, got a list"),
     (
         configuration({}, "127.0.0.1:1", known={"endpoints": {}}),
         "known.endpoints: expected a list, got an obj",
     ),
     (configuration({}, "127.0.0.1:1", peers=["here"]), f"peers[0]: {EXPECTED_ADDRESS}, got 'here'"),
-    (configuration({}, "127.0.0.1:1", peers=7), "peers: expected a list, got a whole number"),
-    (configuration_with_settings(zones=[7]), "settings.zones[0]: expected text, got a whole number"),
-    (configuration_with_settings(zones=7), "settings.zones: expected a list, got a whole number"),
+    (configuration({}, "127.0.0.1:1", peers=7), "peers: expected a list, got an integer"),
+    (configuration_with_settings(zones=[7]), "settings.zones[0]: expected a string, got an integer"),
+    (configuration_with_settings(zones=7), "settings.zones: expected a list, got an integer"),
     (
         configuration_with_settings(lanes=[{"giveUpUs": 1}]),
-        "settings.lanes[0].name: is missing; expected text",
+        "settings.lanes[0].name: is missing; expected a string",
     ),
     (
         configuration_with_settings(tenants=DUPLICATE_TENANTS),
-        "settings.tenants[1].name: expected a name of its own, got 't' as at [0]",
+        "settings.tenants[1].name: expected a unique name, got 't', already used at [0]",
     ),
     (
         configuration_with_settings(balancers=1, index=1),
-        "settings.index: expected a number below balancers, 1, got 1",
+        "settings.index: expected an index below balancers (1), got 1",
     ),
     (
         configuration_with_settings(zone=2),
-        "settings.zone: expected the place of one of 2 zones, from 0, got 2",
+        "settings.zone: expected an index below the number of zones (2), got 2",
     ),
     ([], "expected an object, got a list"),
-    ("", "not JSON: it ends in the middle at byte 1; expected an object"),
+    ("", "invalid JSON: unexpected end of input at byte 1; expected an object"),
 ]
 
 
@@ -98,7 +101,7 @@
 
 
 def test_a_large_configuration_is_held_once_while_it_is_read(tmp_path: Path) -> None:
-    """A second copy of the settings would take the most memory of the start."""
+    """A second copy of the settings would determine the peak memory of the start."""
     tenants = [{"name": f"t{n}", "note": "x" * 2_000} for n in range(1_000)]
     document = configuration_with_settings(tenants=tenants)
     path = tmp_path / "config.json"
@@ -121,7 +124,7 @@
 async def test_endpoints_cached_at_the_start_are_exempt_from_garbage_collection(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Else every full collection would, while requests wait."""
+    """Otherwise every full garbage collection would traverse them while requests wait."""
     path, started = tmp_path / "config.json", asyncio.Event()
     path.write_text(json.dumps(configuration({"h0": "127.0.0.1:1"}, "127.0.0.1:1")))
 
@@ -158,7 +161,10 @@
 
 
 def test_counted_repeats_are_written_before_the_error_of_a_failed_start(tmp_path: Path) -> None:
-    """A poll that failed twice while the listener was opened was counted, and told after the last line."""
+    """A second failure of discovery before the listener opens is only counted.
+
+    Its count must not be written after the error that ends the process.
+    """
     path = tmp_path / "config.json"
     path.write_text(json.dumps(configuration({}, "127.0.0.1:1")))
     completed = subprocess.run(
--- a/tests/lab/model/mutants.py
+++ b/tests/lab/model/mutants.py
@@ -69,7 +69,7 @@
 
 
 class NeverSubscribes(ReferencePolicy):
-    """Never requests a list; after `must_ask_s` it counts as notified of the changes anyway."""
+    """Never requests a list; after `max_poll_interval_s` it counts as notified of the changes anyway."""
 
     def on_list(self, now_us: int, event: EndpointListReceived) -> list[Action]:
         super().on_list(now_us, event)
--- a/tests/lab/model/test_rules.py
+++ b/tests/lab/model/test_rules.py
@@ -20,7 +20,7 @@
     SendsToRestartedEndpoints,
     SendsTwice,
 )
-from tests.lab.model.support import BURST, RELEASE, TINY, parse_tiny, play, violated_rules
+from tests.lab.model.support import BURST, RELEASE, TINY, parse_tiny, simulate, violated_rules
 
 
 @pytest.mark.parametrize(
@@ -38,9 +38,9 @@
     ],
 )
 def test_a_policy_that_breaks_a_rule_is_reported(mutant: type[ReferencePolicy], rule: int, text: str) -> None:
-    world = play(parse_tiny(RELEASE + BURST), mutant)
-    assert violated_rules(world) == {rule}
-    violation = next(broken for broken in world.rules.violations if text in broken["what"])
+    simulation = simulate(parse_tiny(RELEASE + BURST), mutant)
+    assert violated_rules(simulation) == {rule}
+    violation = next(broken for broken in simulation.rules.violations if text in broken["what"])
     assert 0.0 < violation["at_s"] < 16.0
     assert violation["gateway"] in (0, 1)
 
@@ -56,13 +56,13 @@
 )
 def test_a_keyed_request_may_be_repeated_only_in_its_scope_and_window(terms: str, broken: set[int]) -> None:
     text = TINY.replace('effect = "unsafe"', f'effect = "keyed", {terms}')
-    assert violated_rules(play(scenario_files.parse(text, "tiny.toml"), RepeatsAnywhere)) == broken
+    assert violated_rules(simulate(scenario_files.parse(text, "tiny.toml"), RepeatsAnywhere)) == broken
 
 
 def test_a_crash_caused_by_gateways_not_notified_of_the_start_breaks_no_rule() -> None:
-    """The gateways request no list, and `must_ask_s` exceeds the run, so they never count as notified."""
+    """The gateways request no list, and `max_poll_interval_s` exceeds the run, so they never count as notified."""
     scenario = parse_tiny(RELEASE + BURST)
-    discovery = msgspec.structs.replace(scenario.discovery, must_ask_s=100.0)
-    world = play(msgspec.structs.replace(scenario, discovery=discovery), SendsToRestartedEndpoints)
-    assert world.record.costs["falls"]
-    assert violated_rules(world) == set()
+    discovery = msgspec.structs.replace(scenario.discovery, max_poll_interval_s=100.0)
+    simulation = simulate(msgspec.structs.replace(scenario, discovery=discovery), SendsToRestartedEndpoints)
+    assert simulation.record.costs["falls"]
+    assert violated_rules(simulation) == set()
