--- a/tests/lab/model/test_rules.py
+++ b/tests/lab/model/test_rules.py
@@ -60,7 +60,7 @@
 
 
 def test_a_crash_caused_by_gateways_not_notified_of_the_start_breaks_no_rule() -> None:
-    """The gateways request no list, and `max_poll_interval_s` exceeds the run, so they never count as notified."""
+    """The gateways request no list and `max_poll_interval_s` exceeds the run: none counts as notified."""
     scenario = parse_tiny(RELEASE + BURST)
     discovery = msgspec.structs.replace(scenario.discovery, max_poll_interval_s=100.0)
     simulation = simulate(msgspec.structs.replace(scenario, discovery=discovery), SendsToRestartedEndpoints)
