--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -1,4 +1,4 @@
-"""Commands: `python -m lab module`, `scale`, `reload`, `up`, `run`, `compare` and `report`."""
+"""The commands `python -m lab module`, `scale`, `reload`, `up`, `run`, `compare` and `report`."""
 
 from __future__ import annotations
 
@@ -24,13 +24,22 @@
 DEFAULT_SIZES = ("10x3x2", "200x3x2", "4200x3x2", "10x3400x2", "10x3x2300")
 
 memory_option = click.option(
-    "--memory-mb", type=click.IntRange(100), help="Bound on all together [default: half of the machine]"
+    "--memory-mb",
+    type=click.IntRange(100),
+    help="Memory limit of all processes, in MB [default: half of the machine's]",
 )
 latency_bound_option = click.option(
-    "--late-ms", type=click.FloatRange(1), default=25.0, show_default=True, help="Bound at p99."
+    "--late-ms",
+    type=click.FloatRange(1),
+    default=25.0,
+    show_default=True,
+    help="Largest lateness at p99 with which the schedule counts as kept.",
 )
 out_option = click.option(
-    "--out", type=click.Path(path_type=Path, file_okay=False), required=True, help="Directory for the result."
+    "--out",
+    type=click.Path(path_type=Path, file_okay=False),
+    required=True,
+    help="Directory to write the result to.",
 )
 seed_option = click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
 gateways_option = click.option(
@@ -39,10 +48,10 @@
 
 
 class SingleLineErrorGroup(click.Group):
-    """Says in one line what is wrong with the arguments, and ends with 2."""
+    """A command group that reports invalid arguments in one line and then exits with code 2."""
 
     def main(self, *args: Any, **kwargs: Any) -> Any:
-        """Run a command; ends the process with its code."""
+        """Run a command and exit the process with the code that it returns."""
         kwargs["standalone_mode"] = False
         try:
             exit_code = super().main(*args, **kwargs)
@@ -50,8 +59,8 @@
             sys.exit(130)
         except click.exceptions.NoArgsIsHelpError:
             print(
-                "lab: no command; there are module, scale, reload, up, run, compare and report "
-                "(--help tells more)",
+                "lab: no command given; expected module, scale, reload, up, run, compare or report "
+                "(see --help)",
                 file=sys.stderr,
             )
             sys.exit(2)
@@ -63,21 +72,34 @@
 
 @click.group(cls=SingleLineErrorGroup)
 def lab() -> None:
-    """Measure the load balancer at a size, all on loopback, and play it in a model of the fleet."""
+    """Measure the load balancer at a given size on loopback, and simulate it in a model of a fleet."""
 
 
 @lab.command("module")
-@click.option("--size", "sizes", multiple=True, help="SERVERSxROUTESxTENANTS; may be given several times.")
-@click.option("--servers", type=click.IntRange(1), help="One more size, with --routes and --tenants.")
+@click.option("--size", "sizes", multiple=True, help="SERVERSxROUTESxTENANTS to measure; can be repeated.")
+@click.option(
+    "--servers", type=click.IntRange(1), help="Servers of one more size, which has --routes and --tenants."
+)
 @click.option("--routes", type=click.IntRange(1), default=3, show_default=True)
 @click.option("--tenants", type=click.IntRange(1), default=2, show_default=True)
 @seed_option
 @click.option(
-    "--repeat", type=click.IntRange(1), default=1, show_default=True, help="Runs of each size: medians."
+    "--repeat",
+    type=click.IntRange(1),
+    default=1,
+    show_default=True,
+    help="Runs of each size; their medians are shown.",
+)
+@click.option(
+    "--memory-mb",
+    type=click.IntRange(1),
+    help="Memory limit of each run, in MB [default: half of the machine's]",
 )
-@click.option("--memory-mb", type=click.IntRange(1), help="Bound on one size [default: half of the machine]")
 @click.option(
-    "--out", type=click.Path(path_type=Path), callback=check_result_path, help="File for the result, as JSON."
+    "--out",
+    type=click.Path(path_type=Path),
+    callback=check_result_path,
+    help="File to write the result to, as JSON.",
 )
 def module_command(
     sizes: tuple[str, ...],
@@ -89,7 +111,7 @@
     memory_mb: int | None,
     out: Path | None,
 ) -> int:
-    """The decisions alone at each size."""
+    """Measure what one Balancer costs at each size, without sockets."""
     parsed_sizes = [parse_size(text) for text in sizes]
     if servers is not None:
         parsed_sizes.append((servers, routes, tenants))
@@ -111,7 +133,7 @@
 @click.option("--routes", type=click.IntRange(4, 10_000), default=15, show_default=True)
 @click.option("--tenants", type=click.IntRange(4, 100_000), default=15, show_default=True)
 @click.option(
-    "--hollow", type=click.IntRange(4, 1000), default=16, show_default=True, help="Hollow gateways."
+    "--hollow", type=click.IntRange(4, 1000), default=16, show_default=True, help="Simulated gateways."
 )
 @gateways_option
 @seed_option
@@ -120,24 +142,28 @@
     type=click.FloatRange(0, 5000, min_open=True),
     default=200.0,
     show_default=True,
-    help="Requests a second through all real gateways; as many go straight.",
+    help="Requests per second through all real gateways together; as many bypass the gateways.",
 )
 @click.option(
     "--hollow-rate",
     type=click.FloatRange(0, 1000, min_open=True),
     default=5.0,
     show_default=True,
-    help="Requests a second to each hollow gateway.",
+    help="Requests per second to each simulated gateway.",
 )
 @click.option(
-    "--seconds", type=click.FloatRange(0.5, 600), default=4.0, show_default=True, help="Of each scenario."
+    "--seconds",
+    type=click.FloatRange(0.5, 600),
+    default=4.0,
+    show_default=True,
+    help="Duration of each scenario.",
 )
 @click.option(
     "--sweep-s",
     type=click.FloatRange(0.2, 60),
     default=1.0,
     show_default=True,
-    help="Of requests at each size.",
+    help="Duration of the requests at each size of the sweep.",
 )
 @click.option(
     "--scenario",
@@ -158,7 +184,7 @@
     hollow_rate: float,
     **sizes: Any,
 ) -> int:
-    """The whole at a size: result.json in the directory, and one table."""
+    """Measure all parts at one size; write result.json to the directory and print tables."""
     bound_mb = resolve_memory_bound_mb(memory_mb)
     plan = Plan(
         scenarios=tuple(dict.fromkeys(scenarios)),
@@ -177,41 +203,43 @@
 @click.option("--routes", type=click.IntRange(1, 10_000), default=100, show_default=True)
 @click.option("--tenants", type=click.IntRange(1, 100_000), default=500, show_default=True)
 @gateways_option
-@click.option("--hollow", type=click.IntRange(1, 1000), default=8, show_default=True, help="Hollow gateways.")
+@click.option(
+    "--hollow", type=click.IntRange(1, 1000), default=8, show_default=True, help="Simulated gateways."
+)
 @click.option(
     "--rate",
     type=click.FloatRange(0, 5000, min_open=True),
     default=200.0,
     show_default=True,
-    help="Requests a second to each real gateway; as many go straight.",
+    help="Requests per second to each real gateway; as many bypass the gateways.",
 )
 @click.option(
     "--seconds",
     type=click.FloatRange(0.5, 600),
     default=12.0,
     show_default=True,
-    help="Of requests without changes, and as long with them.",
+    help="Duration of the requests without changes, and again of the requests with changes.",
 )
 @click.option(
     "--every-s",
     type=click.FloatRange(0.1, 600),
     default=2.0,
     show_default=True,
-    help="Between two changes while requests go on; 22.7 is ten times the daily rate. At least 3 are made.",
+    help="Time between two changes during requests; 22.7 is ten times the daily rate. At least 3 are made.",
 )
 @click.option(
     "--changes",
     type=click.IntRange(1, 100_000),
     default=40,
     show_default=True,
-    help="Afterwards, one after the other.",
+    help="Changes made afterwards, one immediately after the other.",
 )
 @seed_option
 @memory_option
 @latency_bound_option
 @out_option
 def reload_command(out: Path, memory_mb: int | None, hollow: int, **sizes: Any) -> int:
-    """Changes of one tenant under way: result.json in the directory, and one table."""
+    """Measure changes of one tenant in running gateways; write result.json and print a table."""
     plan = reload.Plan(memory_mb=resolve_memory_bound_mb(memory_mb), simulated=hollow, **sizes)
     return run_to_folder(
         out, lambda report_progress: reload.play(plan, out, report_progress), reload_report.format_result
@@ -223,12 +251,12 @@
     "--config",
     type=click.Path(path_type=Path, dir_okay=False),
     default=up.EXAMPLE_CONFIG,
-    help="The gateways' configuration [default: deploy/example.json]",
+    help="Configuration file of the gateways [default: deploy/example.json]",
 )
 def up_command(config: Path) -> int:
-    """Bring up a deployment to try: discovery, five servers, two gateways.
+    """Start an example deployment: discovery, five endpoints and two gateways.
 
-    Prints a curl command that gets a 200 through a gateway. Ctrl-C ends all of it.
+    Prints a curl command that gets a 200 through a gateway. Ctrl-C stops all processes.
     """
     try:
         raw = msgspec.json.decode(config.read_bytes())
@@ -236,12 +264,12 @@
     except OSError as error:
         raise click.BadParameter(f"{config} cannot be read: {error.strerror}") from None
     except (ValueError, TypeError) as error:
-        raise click.BadParameter(f"{config} cannot be used: {error}") from None
+        raise click.BadParameter(f"{config} is not a valid configuration: {error}") from None
     with tempfile.TemporaryDirectory(prefix="load-balancer-") as folder:
 
         def print_command(line: str) -> None:
             print(line, flush=True)
-            print("lab: all is up; Ctrl-C ends it", file=sys.stderr, flush=True)
+            print("lab: the deployment is running; Ctrl-C stops it", file=sys.stderr, flush=True)
 
         try:
             run_interruptible(up.run_deployment(raw, Path(folder), print_command))
@@ -249,7 +277,7 @@
             logs = "".join(path.read_text(errors="replace") for path in sorted(Path(folder).glob("*.log")))
             print(f"{logs}lab: {error or 'a gateway was not ready in time'}", file=sys.stderr)
             return 1
-    print("lab: ended, and every child with it", file=sys.stderr)
+    print("lab: stopped; all child processes have ended", file=sys.stderr)
     return 0
 
 
--- a/lab/readiness.py
+++ b/lab/readiness.py
@@ -1,4 +1,4 @@
-"""Polls the readiness of gateways: what their event loops alone answer, and how late."""
+"""Polls the readiness of gateways; the latency shows how long their event loops were blocked."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from lab.child import Hist
 from lab.messages import Address
 
-POLL_S = 0.002  # between two polls of one gateway
+POLL_S = 0.002  # pause between an answer and the next poll of the same gateway
 READY_REQUEST = b"GET /health/ready HTTP/1.1\r\nHost: service.internal\r\n\r\n"
 
 
 async def fetch(
     reader: asyncio.StreamReader, writer: asyncio.StreamWriter, payload: bytes
 ) -> tuple[int, bytes]:
-    """Send one request on a connection; returns the answer's status and body."""
+    """Send one request on a connection and return the status and body of its answer."""
     writer.write(payload)
     head = (await reader.readuntil(b"\r\n\r\n")).lower()
     length = int(head.partition(b"content-length:")[2].split(b"\r\n")[0])
@@ -24,14 +24,14 @@
 
 
 class ReadinessPoller:
-    """Asks each gateway whether it is ready, again and again."""
+    """Polls the readiness of gateways and records the latency of the answers."""
 
     def __init__(self) -> None:
         self.latency = Hist()
         self.tasks: list[asyncio.Task[None]] = []
 
     def start(self, gateways: Iterable[Address]) -> None:
-        """Begin anew, with a connection to each gateway."""
+        """Start polling, with an empty histogram and one connection to each gateway."""
         self.latency = Hist()
         self.tasks = [asyncio.create_task(self._poll(host, port)) for host, port in gateways]
 
@@ -47,7 +47,10 @@
             writer.close()
 
     async def stop(self) -> str:
-        """End the polls; returns their latency as a histogram's text. Raises what has ended one before."""
+        """Stop polling and return the latency as the text of a histogram.
+
+        An exception that has ended the polling of a gateway is raised here.
+        """
         for task in self.tasks:
             if task.done():
                 task.result()
--- a/lab/stalls.py
+++ b/lab/stalls.py
@@ -1,4 +1,4 @@
-"""How long the steps of a change hold up an event loop."""
+"""Measures how long the steps of a settings change block an event loop."""
 
 from __future__ import annotations
 
@@ -13,29 +13,35 @@
 
 
 def read_clocks() -> tuple[int, int]:
-    """Nanoseconds on the clock and of this thread on the processor."""
+    """Return the wall clock and the CPU time of this thread, in nanoseconds."""
     return time.perf_counter_ns(), time.thread_time_ns()
 
 
 class StallMonitor:
-    """The time of each step by its name; a collection is part of the step it comes in.
+    """Records the wall time and CPU time of steps by name, and of garbage collections by generation.
 
-    The processor's time beside it is without what a busy machine gives to others.
+    A garbage collection also counts towards the step during which it runs. Other processes on a busy
+    machine lengthen the wall time of a step, but not its CPU time.
+
+    Attributes:
+        hists: The wall times of the steps of each name.
+        max_cpu: The largest CPU time in milliseconds of a step of each name, and the number of that step.
+        started: The clocks when the current garbage collection started.
     """
 
     def __init__(self) -> None:
         self.hists: dict[str, Hist] = {}
-        self.max_cpu: dict[str, tuple[float, int]] = {}  # processor's milliseconds, and which step it was
+        self.max_cpu: dict[str, tuple[float, int]] = {}
         self.started = (0, 0)
 
     def record(self, name: str, started: tuple[int, int], step: int = 0) -> None:
-        """Record a step that has begun at a time and ends now."""
+        """Record a step that started at the given clocks and ends now."""
         ended = read_clocks()
         self.hists.setdefault(name, Hist()).add((ended[0] - started[0]) / 1e3)
         self.max_cpu[name] = max(self.max_cpu.get(name, (0.0, 0)), ((ended[1] - started[1]) / 1e6, step))
 
     def run_steps(self, name: str, steps: Steps[T]) -> T:
-        """Run all steps and record each; returns their result."""
+        """Run all steps, record the time of each, and return their result."""
         step = 0
         while True:
             started = read_clocks()
@@ -49,14 +55,14 @@
                 step += 1
 
     def on_collection(self, phase: str, info: dict[str, int]) -> None:
-        """Record a garbage collection; a callback of `gc`."""
+        """Record a garbage collection; `gc` calls this at its start and its end."""
         if phase == "start":
             self.started = read_clocks()
         else:
             self.record(f"collection of generation {info['generation']}", self.started)
 
     def costs(self) -> dict[str, StepCost]:
-        """The cost of each kind of step, by its name."""
+        """Return the cost of the recorded steps by name."""
         return {name: self._cost(name, hist) for name, hist in self.hists.items()}
 
     def _cost(self, name: str, hist: Hist) -> StepCost:
--- a/lab/tables.py
+++ b/lab/tables.py
@@ -1,4 +1,4 @@
-"""Tables of plain text."""
+"""Plain text tables."""
 
 from __future__ import annotations
 
@@ -6,7 +6,10 @@
 
 
 def format_table(header: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
-    """Columns aligned to the right but for the first; a short row's last cell runs on over what is left."""
+    """Return a table with its first column aligned to the left and the others to the right.
+
+    A row with fewer cells than the header is printed without alignment after its first cell.
+    """
     body_rows = [list(row) for row in rows]
     full_rows = [list(header), *(row for row in body_rows if len(row) == len(header))]
     widths = [max(len(row[column]) for row in full_rows) for column in range(len(header))]
--- a/lab/up.py
+++ b/lab/up.py
@@ -1,4 +1,4 @@
-"""A small deployment on loopback to try things on: stand-ins and real gateways, until told to end."""
+"""A small example deployment on loopback: stand-ins and real gateways that run until cancelled."""
 
 from __future__ import annotations
 
@@ -17,19 +17,21 @@
 ENDPOINT_COUNT = 5
 GATEWAY_COUNT = 2
 MEMORY_MB = 1000
-START_TIMEOUT_S = 20.0  # until a gateway is ready, at most
+START_TIMEOUT_S = 20.0  # a gateway must be ready within this time after its start
 POLL_S = 0.02
 REQUEST_ID = "0000000000000001"
 
 
 async def run_deployment(raw: dict[str, Any], folder: Path, print_command: ReportProgress) -> None:
-    """Run the deployment that a configuration's object describes until cancelled; no child outlives it.
+    """Run the deployment that a configuration describes until cancelled; all child processes then end.
 
-    Its own addresses are put in the place of those that stand there. `say` is given one line: a command that
-    gets a 200.
+    Args:
+        raw: The decoded configuration file; its addresses are replaced by those of this deployment.
+        folder: The directory for configuration files and logs.
+        print_command: Called once, with a curl command that gets a 200 through a gateway.
 
     Raises:
-        ChildError: A child has ended by itself.
+        ChildError: A child process has ended unexpectedly.
     """
     async with Children(MEMORY_MB, folder) as children:
         registry = await children.start("registry", "lab.registry")
@@ -54,7 +56,7 @@
 async def start_gateway(
     children: Children, folder: Path, raw: dict[str, Any], discovery: str, number: int
 ) -> tuple[Child, Address]:
-    """A gateway of this number, once it is ready."""
+    """Start gateway `number` and return it with its address once it is ready."""
     host = f"127.0.1.{number + 1}"
     with socket.create_server((host, 0)) as reserved:
         port = reserved.getsockname()[1]
@@ -72,7 +74,7 @@
 
 
 def curl_command(gateway: Address, settings: dict[str, Any]) -> str:
-    """A command that asks for the first route whose requests may be repeated at will."""
+    """Return a curl command that requests the first route whose requests are safe to repeat."""
     route = next(lane["name"] for lane in settings["lanes"] if lane.get("effect") == "free")
     headers = {"Request-Id": REQUEST_ID, "Request-Class": route, "Request-Timeout-Ms": "2000"}
     if settings.get("tenants"):
