--- a/lab/change_driver.py
+++ b/lab/change_driver.py
@@ -1,4 +1,4 @@
-"""Makes changes of one tenant at real gateways, and sees from outside when they are in force."""
+"""Makes changes of one tenant at real gateways and measures, by requests, when they are in force."""
 
 from __future__ import annotations
 
@@ -17,17 +17,22 @@
 from lab.records import Problems
 from lab.rig import RealGateway
 
-IN_FORCE_TIMEOUT_S = 30.0  # for a change to be in force, at most
-POLL_S = 0.001
-FIRST_PROBE_ID = 1 << 60  # request ids that no client has
+IN_FORCE_TIMEOUT_S = 30.0  # a change that takes longer is reported as a problem
+POLL_S = 0.001  # pause between two probes
+FIRST_PROBE_ID = 1 << 60  # request ids of probes are above those of the clients
 
 
 class ChangeDriver:
-    """Writes the gateways' files, signals the gateways and asks them for the tenant."""
+    """Changes the gateways' configuration files, signals the gateways and probes them for the tenant.
+
+    Attributes:
+        file_bytes: Length of the file written last.
+        slowest_s: Longest time from the signal until a change was in force.
+    """
 
     def __init__(self, upcoming: Iterable[TenantChange], problems: Problems) -> None:
         self.file_bytes = 0
-        self.slowest_s = 0.0  # until a change was in force
+        self.slowest_s = 0.0
         self._upcoming = iter(upcoming)
         self._problems = problems
         self._gateways: list[RealGateway] = []
@@ -36,12 +41,12 @@
         self._renamed_ns = 0
 
     def add_gateway(self, gateway: RealGateway, path: Path) -> None:
-        """Change this gateway too, by its configuration file."""
+        """Add a gateway to change, with the path of its configuration file."""
         self._gateways.append(gateway)
         self._documents[path] = ConfigDocument(json.loads(path.read_text(encoding="utf-8")))
 
     async def write_next_change(self) -> TenantChange:
-        """Write the next change to each gateway's file; none has been signalled."""
+        """Write the next change to the file of each gateway, without signalling any."""
         change = next(self._upcoming)
         for path, document in self._documents.items():
             document.apply(change)
@@ -52,14 +57,14 @@
         return change
 
     def signal_reload(self, gateway: RealGateway) -> int:
-        """Let the gateway read its file; returns when, in nanoseconds."""
+        """Signal a gateway to reload its file, and return the time of the signal in nanoseconds."""
         gateway.child.check()
         signalled_ns = time.perf_counter_ns()
         os.kill(gateway.child.process.pid, signal.SIGHUP)
         return signalled_ns
 
     async def make_change(self, histograms: dict[str, Hist]) -> None:
-        """Make one change at every gateway, until it is in force at all."""
+        """Make one change at all gateways and wait until it is in force at each."""
         change = await self.write_next_change()
         await asyncio.gather(
             *(self._measure_change(gateway, change, histograms) for gateway in self._gateways)
@@ -68,13 +73,15 @@
     async def _measure_change(
         self, gateway: RealGateway, change: TenantChange, histograms: dict[str, Hist]
     ) -> None:
-        """Ask for the tenant every millisecond from the signal on, on a connection of its own."""
+        """Signal a gateway, and probe it for the tenant on one connection until the change is in force."""
         status_before, status_after = (400, 200) if change.added else (200, 400)
         reader, writer = await asyncio.open_connection(*gateway.address)
         try:
             async with asyncio.timeout(IN_FORCE_TIMEOUT_S):
                 if (status := (await self.send_probe(reader, writer, change))[0]) != status_before:
-                    self._problems.broken.append(f"{status_before} expected before a change, got {status}")
+                    self._problems.broken.append(
+                        f"expected status {status_before} before a change, got {status}"
+                    )
                 signalled_ns = self.signal_reload(gateway)
                 while True:
                     status, sent_ns = await self.send_probe(reader, writer, change)
@@ -90,9 +97,12 @@
         done_ns = time.perf_counter_ns()
         self.slowest_s = max(self.slowest_s, (done_ns - signalled_ns) / 1e9)
         for label, duration_ns in (
-            ("from_rename", done_ns - self._renamed_ns),  # of the last gateway's file
+            ("from_rename", done_ns - self._renamed_ns),  # since the rename of the last gateway's file
             ("from_signal", done_ns - signalled_ns),
-            ("from_signal_to_asked", max(0, sent_ns - signalled_ns)),  # the first that was answered so
+            (
+                "from_signal_to_asked",
+                max(0, sent_ns - signalled_ns),
+            ),  # the first probe that got the new status
             ("added_from_signal" if change.added else "dropped_from_signal", done_ns - signalled_ns),
         ):
             histograms.setdefault(label, Hist()).add(duration_ns / 1e3)
@@ -100,7 +110,7 @@
     async def send_probe(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, change: TenantChange
     ) -> tuple[int, int]:
-        """The answer's status to a request of that tenant, and when it was asked."""
+        """Send a request of the change's tenant; return the status and when it was sent, in nanoseconds."""
         self._probe_count += 1
         sent_ns = time.perf_counter_ns()
         status, _ = await fetch(
--- a/lab/changes.py
+++ b/lab/changes.py
@@ -1,4 +1,7 @@
-"""Changes of one tenant, the file that says so, and what they cost a Balancer. Also a child of a run."""
+"""Changes of one tenant in a configuration file, and what they cost a Balancer.
+
+Run as a program, it is the child process of a reload run that polls gateways and measures such changes.
+"""
 
 from __future__ import annotations
 
@@ -38,24 +41,32 @@
 from load_balancer.gateway.discovery_messages import parse_list
 from load_balancer.gateway.request_parsing import RequestLookup, lookup_steps
 
-PLACEHOLDER = "the tenants stand here"
+PLACEHOLDER = "placeholder for the tenants"  # text that occurs nowhere else in a configuration
 TIMEOUT_US = 2_000_000
-MAX_CHANGES_DURATION_S = 60.0  # spent on the changes
-WARM_UP_REQUESTS = 500  # that each balancer has had, so that there is state to carry
+MAX_CHANGES_DURATION_S = 60.0  # no change is started after this time
+# Requests that each balancer serves before the changes, so that it has state to carry over to new settings.
+WARM_UP_REQUESTS = 500
 
 
 @dataclass(frozen=True)
 class TenantChange:
-    """A tenant is added or removed, at an index among the others."""
+    """A tenant that is added or removed.
+
+    Attributes:
+        added: Whether the tenant is added; otherwise it is removed.
+        tenant_number: The number in the tenant's name.
+        index: The tenant's position among all tenants.
+        allowance_per_s: The tenant's quota in requests per second.
+    """
 
     added: bool
-    tenant_number: int  # of the tenant's name
+    tenant_number: int
     index: int
-    allowance_per_s: float  # requests a second
+    allowance_per_s: float
 
 
 def generate_changes(seed: int, tenants: int, count: int) -> list[TenantChange]:
-    """Add a new tenant and remove it again, in turn: there is at most one beside the `tenants`."""
+    """Return changes that alternately add a new tenant and remove it again."""
     rng = schedule.stream(seed, "changes")
     generated: list[TenantChange] = []
     for number in range(count):
@@ -70,7 +81,7 @@
 
 
 class ConfigDocument:
-    """A configuration's text, of which one tenant changes; the rest stays byte for byte."""
+    """The text of a configuration file in which tenants change and the rest stays byte for byte."""
 
     def __init__(self, raw: dict[str, Any]) -> None:
         self.tenants = [json.dumps(tenant) for tenant in raw["settings"]["tenants"]]
@@ -81,7 +92,7 @@
         )
 
     def apply(self, change: TenantChange) -> None:
-        """Add or drop the change's tenant."""
+        """Add or remove the tenant of a change."""
         if not change.added:
             del self.tenants[change.index]
             return
@@ -93,14 +104,14 @@
         self.tenants.insert(change.index, json.dumps(tenant))
 
     def write(self, path: Path) -> int:
-        """Write it where no gateway reads; returns how many bytes."""
+        """Write the configuration to a file that no gateway reads, and return its length in bytes."""
         return path.write_bytes(f"{self.text_before}{', '.join(self.tenants)}{self.text_after}".encode())
 
 
 class ChangeMeasurement:
-    """Balancers at the size of a configuration file, and the changes of its settings that are made to them.
+    """Applies changes of a configuration file to Balancers and measures their steps.
 
-    The configuration and the lookup tables of before are released with each change, as in the gateway.
+    As in the gateway, each change releases the previous configuration and lookup tables.
     """
 
     def __init__(self, path: Path) -> None:
@@ -118,7 +129,7 @@
         self.stalls = StallMonitor()
 
     def start_balancers(self, count: int, seed: int) -> None:
-        """Start balancers that know the endpoints and have served requests."""
+        """Create balancers that know the endpoints and have served requests."""
         settings = self.config.settings
         for index in range(count):
             balancer = Balancer(settings, seed + index)
@@ -127,7 +138,7 @@
             self.balancers.append(balancer)
 
     def make_changes(self, changes_to_make: list[TenantChange]) -> int:
-        """Make changes until MAX_SPAN_S has passed; returns how many were made."""
+        """Make changes until MAX_CHANGES_DURATION_S has passed, and return how many were made."""
         self.lookup = run_to_completion(lookup_steps(self.config))
         gc.callbacks.append(self.stalls.on_collection)
         started_s = time.monotonic()
@@ -143,7 +154,7 @@
         return made
 
     def make_change(self, change: TenantChange) -> None:
-        """Write a change to the file, read it, and give its settings to all balancers."""
+        """Write a change to the file, load the file, and pass its settings to all balancers."""
         self.document.apply(change)
         self.document.write(self.file)
         self.config = self.stalls.run_steps("read_steps", load_config_steps(self.environ, self.config))
@@ -157,7 +168,7 @@
 
 
 def measure_changes(path: str, count: int, seed: int, changes_to_make: list[TenantChange]) -> ChangeCosts:
-    """Make changes to `count` balancers at the size of a configuration file."""
+    """Apply changes of a configuration file to `count` balancers and return their costs."""
     process = psutil.Process()
     measurement = ChangeMeasurement(Path(path))
     gc.collect()
@@ -178,7 +189,7 @@
 
 
 def warm_up(balancer: Balancer, seed: int, routes: int, tenants: int) -> None:
-    """Serve requests at once, so that there is state of classes, tenants and endpoints to carry."""
+    """Serve requests, so that the balancer has state of classes, tenants and endpoints."""
     requests = schedule.requests(seed, "met", float(WARM_UP_REQUESTS), 1.0, routes, tenants, 1)
     for request_number, (route, tenant) in enumerate(zip(requests.routes, requests.tenants, strict=True)):
         request_id = f"met {request_number}"
@@ -191,13 +202,13 @@
 
 
 class ChangesChild:
-    """Polls gateways and measures changes of settings, on command."""
+    """Polls gateways and measures changes of settings when the parent process requests it."""
 
     def __init__(self) -> None:
         self.poller = ReadinessPoller()
 
     async def handle(self, command: ChangeCommand) -> Any:
-        """Carry out a command; returns its answer."""
+        """Execute a command and return its answer."""
         match command:
             case StartPolling():
                 return self.poller.start(command.gateways)
@@ -211,7 +222,7 @@
 
 
 def create_handler() -> Handler[ChangeCommand]:
-    """The handler of commands."""
+    """Return the handler of commands."""
     return ChangesChild().handle
 
 
--- a/lab/figures.py
+++ b/lab/figures.py
@@ -1,4 +1,4 @@
-"""The figures of a scale run, as result.json holds them."""
+"""Computes the figures of a scale run that are stored in result.json."""
 
 from __future__ import annotations
 
@@ -18,7 +18,9 @@
 from lab.rig import Rig
 from lab.statements import TARGETS
 
-SATURATED_CPU_SHARE = 0.9  # of one process: it may no longer do everything when it is due
+# A process that uses more of a core than this may fall behind its schedule.
+SATURATED_CPU_SHARE = 0.9
+# Title, factor and unit of each figure in the table of slopes; a stored figure times the factor has the unit.
 METRICS = {
     "resident_bytes": ("resident memory", 1e-3, "kB"),
     "ready_s": ("start to ready", 1e3, "ms"),
@@ -33,19 +35,36 @@
     "hollow_cpu_s_per_s": ("hollow's processor", 1e6, "us/s"),
 }
 
-Scenarios = dict[str, ScenarioRecord]
-LatencySummary = dict[str, float] | None  # of a histogram
+Scenarios = dict[str, ScenarioRecord]  # by name, in the order in which they were played
+LatencySummary = dict[str, float] | None  # summary of a histogram; None if it is empty
 
 
 class Traffic(msgspec.Struct, frozen=True):
-    """What a role has sent and received."""
+    """Bytes and messages that a role has sent and received."""
 
     bytes: float
     messages: float
 
 
 class Role(msgspec.Struct, kw_only=True):
-    """What one role took, over all scenarios; of gateways, each one's part."""
+    """The resources that one role used over all scenarios; for gateways, the mean of one gateway.
+
+    Attributes:
+        count: Members of the role.
+        processes: Processes of the role; one process runs many simulated gateways.
+        resident_mb: Resident memory per member.
+        cpu_s_per_s: CPU seconds per second and member.
+        busiest_cpu_s_per_s: CPU seconds per second of the busiest process.
+        bytes_per_s: Bytes sent and received per second and member.
+        messages_per_s: Messages sent and received per second and member.
+        ready_s: Time from start to ready: the longest of real gateways, p99 of simulated ones.
+        start_cpu_s: Most CPU seconds that a gateway used until it was ready.
+        in_force: Time until a change at discovery was in force.
+        not_in_force: Idle connections that were not closed in time after their endpoint began to leave.
+        added: Latency with and without the gateways, and the latency that they add.
+        list_read: Time to process an endpoint list.
+        requests: Counts of simulated requests, and the time for each.
+    """
 
     count: int
     processes: int
@@ -64,7 +83,7 @@
 
 
 def fit_slopes(points: dict[str, list[Point]]) -> dict[str, Any]:
-    """By what is counted and what is measured, a line through the sizes that were played whole."""
+    """Fit a line for each kind of size and each metric, through the sizes that stayed within the bounds."""
     fits: dict[str, Any] = {}
     for kind, all_points in points.items():
         completed = [
@@ -79,7 +98,7 @@
 
 
 def cpu_share(scenarios: Scenarios, names: Iterable[str]) -> float:
-    """Processor seconds a second of some processes over all scenarios."""
+    """Return the CPU seconds per second that the named processes used over all scenarios."""
     process_names = list(names)
     took_s = sum(scenario.took_s for scenario in scenarios.values())
     spent_s = sum(
@@ -91,13 +110,13 @@
 
 
 def total_traffic(scenarios: Scenarios, scenario_traffic: Callable[[ScenarioRecord], Traffic]) -> Traffic:
-    """Of all scenarios together."""
+    """Return the sum of the traffic in all scenarios."""
     traffics = [scenario_traffic(scenario) for scenario in scenarios.values()]
     return Traffic(sum(traffic.bytes for traffic in traffics), sum(traffic.messages for traffic in traffics))
 
 
 def discovery_traffic(scenarios: Scenarios, gateway_kind: str) -> Traffic:
-    """Between discovery and one kind of gateways."""
+    """Return the traffic between discovery and one kind of gateway."""
 
     def scenario_traffic(scenario: ScenarioRecord) -> Traffic:
         before, after = scenario.before.registry[gateway_kind], scenario.after.registry[gateway_kind]
@@ -107,7 +126,7 @@
 
 
 def endpoint_traffic(scenarios: Scenarios, target: str) -> Traffic:
-    """Between the statement servers and what comes from a target."""
+    """Return the traffic of the endpoints with the senders of a target: gateways or direct clients."""
 
     def scenario_traffic(scenario: ScenarioRecord) -> Traffic:
         before, after = scenario.before.statements[target], scenario.after.statements[target]
@@ -117,7 +136,7 @@
 
 
 def client_traffic(scenarios: Scenarios, target: str) -> Traffic:
-    """Between the clients and a target."""
+    """Return the traffic between the clients and a target."""
 
     def scenario_traffic(scenario: ScenarioRecord) -> Traffic:
         if not scenario.targets:
@@ -129,7 +148,7 @@
 
 
 def make_role(scenarios: Scenarios, children: Sequence[Child], count: int, *traffics: Traffic) -> Role:
-    """The figures that all roles have, each one's part of `count`."""
+    """Return a role with the figures that all roles have, divided by `count`."""
     took_s = sum(scenario.took_s for scenario in scenarios.values()) or 1.0
     return Role(
         count=count,
@@ -143,7 +162,7 @@
 
 
 def make_roles(rig: Rig, scenarios: Scenarios) -> dict[str, Role]:
-    """All roles that the run had."""
+    """Return the roles of the run by name."""
     listed = {kind: discovery_traffic(scenarios, kind) for kind in ("real", "hollow")}
     served = {target: endpoint_traffic(scenarios, target) for target in TARGETS}
     sent = {target: client_traffic(scenarios, target) for target in TARGETS}
@@ -161,7 +180,7 @@
 
 
 def make_real_gateways_role(rig: Rig, scenarios: Scenarios, traffics: Iterable[Traffic]) -> Role:
-    """The role of the real gateways."""
+    """Return the role of the real gateways."""
     children = [gateway.child for gateway in rig.reals]
     role = make_role(scenarios, children, len(rig.reals), *traffics)
     role.ready_s = max(gateway.ready_s for gateway in rig.reals)
@@ -173,7 +192,7 @@
 
 
 def make_simulated_gateways_role(rig: Rig, scenarios: Scenarios, traffic: Traffic) -> Role:
-    """The role of the simulated gateways."""
+    """Return the role of the simulated gateways."""
     gateways = rig.plan.simulated
     role = make_role(scenarios, rig.simulated, gateways, traffic)
     role.resident_mb -= rig.simulated_base / gateways / 1e6
@@ -193,12 +212,15 @@
 
 
 def without_outage(scenarios: Scenarios) -> list[ScenarioRecord]:
-    """Those in which discovery is up throughout, if there are any: an outage would be most of every p99."""
+    """Return the scenarios without an outage of discovery, or all if there are no others.
+
+    The duration of an outage would dominate the p99 until changes are in force.
+    """
     return [scenario for name, scenario in scenarios.items() if name != "outage"] or list(scenarios.values())
 
 
 def merge_histograms(histograms: Iterable[Hist]) -> Hist:
-    """All in one."""
+    """Return one histogram with the durations of all."""
     total = Hist()
     for histogram in histograms:
         total.join(histogram)
@@ -206,7 +228,7 @@
 
 
 def added_latency(results: Sequence[dict[str, TargetResult]]) -> dict[str, Any] | None:
-    """Latency through gateways and straight, and what gateways add, in milliseconds."""
+    """Return the latency through gateways and without them, and the difference, in milliseconds."""
     played = [targets for targets in results if targets]
     histograms = {
         target: merge_histograms(Hist(targets[target].latency) for targets in played) for target in TARGETS
@@ -227,16 +249,16 @@
 
 
 def check_schedule(problems: Problems, late_ms: float) -> dict[str, Any]:
-    """Whether the run kept its schedule; what was too late is added to the problems."""
+    """Report whether the run kept its schedule; processes that were too late are added to the problems."""
     late = {process: histogram.summary() for process, histogram in problems.late.items()}
     for process, summary in late.items():
         if summary is not None and summary["p99_ms"] > late_ms:
-            problems.schedule.append(f"{process} were late by {summary['p99_ms']:.1f} ms at p99")
+            problems.schedule.append(f"{process} were behind schedule by {summary['p99_ms']:.1f} ms at p99")
     return {"kept": not problems.schedule, "why": problems.schedule, "late": late, "bound_ms": late_ms}
 
 
 def machine_info() -> dict[str, Any]:
-    """Where the run was made."""
+    """Describe the machine of the run."""
     return {
         "cores": psutil.cpu_count(),
         "memory_mb": int(psutil.virtual_memory().total / 1e6),
@@ -245,7 +267,7 @@
 
 
 def scenario_figures(scenario: ScenarioRecord) -> dict[str, Any]:
-    """The figures of one scenario."""
+    """Return the figures of one scenario."""
     return {
         "changes": scenario.changes,
         "machine_cpu_share": scenario.machine_cpu_share,
@@ -261,12 +283,12 @@
 def build_result(
     rig: Rig, points: dict[str, list[Point]], scenarios: Scenarios, took_s: float
 ) -> dict[str, Any]:
-    """All of a run; its figures are void where the schedule was not kept."""
+    """Return the result of a run; its figures are stored as "void" if the schedule was not kept."""
     schedule = check_schedule(rig.problems, rig.plan.late_ms)
     last = list(scenarios.values())[-1:]
     bad = sum(counters.bad for scenario in last for counters in scenario.after.statements.values())
     if bad:
-        rig.problems.broken.append(f"{bad} requests at the stand-ins were none of PROTOCOL's")
+        rig.problems.broken.append(f"{bad} requests at the stand-ins did not follow the protocol")
     roles = make_roles(rig, scenarios) if scenarios else {}
     figures = {
         "roles": msgspec.to_builtins(roles),
--- a/lab/module.py
+++ b/lab/module.py
@@ -1,4 +1,4 @@
-"""The decisions alone: what one Balancer costs at a size, with no sockets. One process for each size."""
+"""Measures the time and memory of one Balancer at a size, without sockets; one process for each run."""
 
 from __future__ import annotations
 
@@ -32,21 +32,22 @@
 from load_balancer.simulator.codec import parse_settings
 
 START_US = 1_000_000_000
-MAX_PHASE_S = 10.0  # spent at most on each of the three measurements
+MAX_PHASE_S = 10.0  # longest wall time of each phase: calm requests, restarts, overload
 REQUEST_COUNT = 3_000
 RESTART_COUNT = 200
-REQUEST_GAP_S = 0.001  # mean time between two requests
+REQUEST_GAP_S = 0.001  # mean time between two requests without overload
 SERVICE_TIME_US = 5_000
-ERROR_SHARE = 0.03  # of the attempts
+ERROR_SHARE = 0.03  # share of the attempts that end as an error
 RESTART_INTERVAL_US = 100_000
-WARM_UP_US = 60_000_000  # after the restarts, so that all endpoints have warmed up again
-# Overload: all servers together answer one request every so often, in turn, and more than twice as many come.
+WARM_UP_US = 60_000_000  # pause after the restarts, so that the slow start of all endpoints has ended
+# Under overload all endpoints together answer one request per service time, one after the other, and requests
+# arrive at 2.5 times that rate.
 OVERLOAD_REQUEST_GAP_S = 0.001
 OVERLOAD_SERVICE_TIME_US = 2_500
 
 
 class Size(NamedTuple):
-    """What one Balancer is measured at."""
+    """The size that one Balancer is measured at."""
 
     servers: int
     routes: int
@@ -55,24 +56,36 @@
 
 @dataclass
 class BalancerDriver:
-    """Drives one Balancer on a simulated clock and records the time that `handle` takes for each request."""
+    """Drives one Balancer on a simulated clock and records the time that `handle` takes for each request.
+
+    Attributes:
+        balancer: The Balancer to drive.
+        rng: Draws the outcomes of attempts.
+        now_us: The simulated time.
+        pending_events: A heap of events: when each is due, the order of scheduling, and the event.
+        request_ns: Wall time of `handle` for the events of each request, by request id.
+        other_events_ns: Wall time of `handle` for events that belong to no request.
+        refused: Requests that the Balancer has rejected or failed.
+        overloaded: Whether the endpoints answer one request at a time.
+        servers_free_us: Under overload, when the endpoints will have answered all requests sent so far.
+        scheduled_count: Events scheduled so far.
+        attempts: Attempts of each request so far, by request id.
+    """
 
     balancer: Balancer
     rng: np.random.Generator
     now_us: int = START_US
-    pending_events: list[tuple[int, int, Event]] = field(
-        default_factory=list
-    )  # due, order of scheduling, event
-    request_ns: dict[str, int] = field(default_factory=dict)  # by request id
-    other_events_ns: int = 0  # events that belong to no request
+    pending_events: list[tuple[int, int, Event]] = field(default_factory=list)
+    request_ns: dict[str, int] = field(default_factory=dict)
+    other_events_ns: int = 0
     refused: int = 0
     overloaded: bool = False
-    servers_free_us: int = 0  # under overload: when the servers have answered what was sent by now
+    servers_free_us: int = 0
     scheduled_count: int = 0
     attempts: dict[str, int] = field(default_factory=dict)
 
     def handle(self, event: Event) -> None:
-        """Give an event to the Balancer and carry out what it decides."""
+        """Pass an event to the Balancer and execute the actions that it returns."""
         started_ns = time.perf_counter_ns()
         actions = self.balancer.handle(self.now_us, event)
         took_ns = time.perf_counter_ns() - started_ns
@@ -89,18 +102,18 @@
                 self.refused += 1
 
     def handle_list(self, kind: ListKind, endpoints: tuple[Endpoint, ...]) -> float:
-        """Give an endpoint list to the Balancer; returns the milliseconds that it took."""
+        """Pass an endpoint list to the Balancer and return the milliseconds that it took."""
         self.other_events_ns = 0
         self.handle(EndpointListReceived(kind, endpoints))
         return self.other_events_ns / 1e6
 
     def schedule_event(self, due_us: int, event: Event) -> None:
-        """Handle an event once the clock has reached a time."""
+        """Schedule an event for a simulated time."""
         self.scheduled_count += 1
         heapq.heappush(self.pending_events, (due_us, self.scheduled_count, event))
 
     def schedule_answer(self, send: Send) -> None:
-        """Schedule the end of an attempt, at random as an error."""
+        """Schedule the end of an attempt; a random share of attempts ends as an error."""
         attempt_number = self.attempts.get(send.request_id, 0)
         self.attempts[send.request_id] = attempt_number + 1
         after_us = SERVICE_TIME_US
@@ -114,14 +127,21 @@
         self.schedule_event(self.now_us + after_us, attempt_ended)
 
     def advance_to(self, due_us: int) -> None:
-        """Handle all events that are due by a time, and set the clock to it."""
+        """Handle all events that are due by a simulated time, and set the clock to it."""
         while self.pending_events and self.pending_events[0][0] <= due_us:
             self.now_us, _, event = heapq.heappop(self.pending_events)
             self.handle(event)
         self.now_us = due_us
 
     def send_requests(self, seed: int, stream_name: str, size: Size, mean_gap_s: float) -> dict[str, float]:
-        """Send seeded requests; returns the microseconds of `handle` for a request with its outcomes."""
+        """Send seeded requests and return their costs.
+
+        Args:
+            seed: The seed of arrival times, routes and tenants.
+            stream_name: The name of the random stream, and the prefix of request ids.
+            size: The number of routes and tenants to draw from.
+            mean_gap_s: Mean time between two requests.
+        """
         rng = schedule.stream(seed, stream_name)
         times = schedule.arrivals(rng, 1.0 / mean_gap_s, REQUEST_COUNT * mean_gap_s)
         routes = schedule.zipf(rng, size.routes, len(times)).tolist()
@@ -149,7 +169,7 @@
         return self.request_costs()
 
     def request_costs(self) -> dict[str, float]:
-        """What the requests since the last start of sending have cost."""
+        """Return the time of `handle` per request, with its outcomes, for the latest `send_requests`."""
         spent_us = sorted(request_ns / 1e3 for request_ns in self.request_ns.values())
         return {
             "requests": len(spent_us),
@@ -160,7 +180,7 @@
         }
 
     def restart_endpoints(self, seed: int, endpoints: tuple[Endpoint, ...]) -> list[float]:
-        """Restart random endpoints one after the other; returns the milliseconds that each took."""
+        """Restart random endpoints one after the other; return the milliseconds of `handle` for each."""
         rng = schedule.stream(seed, "restarts")
         took_ms = []
         started_s = time.monotonic()
@@ -176,18 +196,24 @@
 
 @dataclass(frozen=True)
 class BalancerCosts:
-    """What a driven Balancer has cost, by the names of the figures in a result."""
+    """The time and memory that a Balancer took, under the keys of a result.
+
+    Attributes:
+        events_ms: Time of `handle` for endpoint lists and restarts.
+        resident_bytes: Resident memory of the process after each phase, above that before the Balancer.
+        requests: The costs of requests, for each load ("calm" and "shedding").
+    """
 
     events_ms: dict[str, float]
     resident_bytes: dict[str, int]
-    requests: dict[str, dict[str, float]]  # by kind of load
+    requests: dict[str, dict[str, float]]
 
 
 def measure(size: Size, seed: int) -> dict[str, Any]:
-    """One size: list and restart in milliseconds, request and outcome in microseconds, memory in bytes."""
+    """Measure one size; the key of each figure ends with its unit."""
     process = psutil.Process()
     settings_text = json.dumps(fleet.settings(size.routes, size.tenants))
-    raw = {"endpoints": fleet.entries(size.servers, 3000)}  # held to the end: its memory isn't used again
+    raw = {"endpoints": fleet.entries(size.servers, 3000)}  # kept alive, so that its memory is not reused
     names = NameTable((), (), fleet.ZONES, ("m1",))
     endpoints = parse_list(raw, names).to_balancer_event().endpoints
     base_bytes = process.memory_info().rss
@@ -213,7 +239,7 @@
 def measure_balancer(
     settings: Settings, endpoints: tuple[Endpoint, ...], size: Size, seed: int
 ) -> BalancerCosts:
-    """The times of a Balancer through lists, requests, restarts and overload, and its resident bytes."""
+    """Measure a Balancer during endpoint lists, requests, restarts and overload."""
     process = psutil.Process()
     before_bytes = process.memory_info().rss
     driver = BalancerDriver(Balancer(settings, seed), schedule.stream(seed, "outcomes"))
@@ -243,7 +269,7 @@
 
 
 def traced_list_bytes(settings: Settings, endpoints: tuple[Endpoint, ...], seed: int) -> int:
-    """The bytes that a Balancer allocates for itself and a list, as Python traces them."""
+    """Return the bytes that a Balancer with an endpoint list allocates, as traced by tracemalloc."""
     tracemalloc.start()
     balancer = Balancer(settings, seed)
     balancer.handle(START_US, EndpointListReceived(ListKind.CACHED, endpoints))
@@ -252,7 +278,11 @@
 
 
 def median_result(results: list[dict[str, Any]]) -> dict[str, Any]:
-    """Of several runs of one size, the median of each figure, and how far apart the calm ones lie."""
+    """Return the median of each figure over several runs of one size.
+
+    `spread` is the range of the calm median request time, relative to its median. If a run has failed, its
+    result is returned.
+    """
     if failed := [result for result in results if "failed" in result]:
         return failed[0]
 
@@ -276,7 +306,7 @@
 
 
 def result_row(result: dict[str, Any]) -> list[str]:
-    """A line on a size."""
+    """Return the table row of a size."""
     size = f"{result['servers']}x{result['routes']}x{result['tenants']}"
     if "failed" in result:
         return [size, result["failed"]]
@@ -300,7 +330,7 @@
 
 
 def main() -> None:
-    """A child: sizes and seed as arguments, one line of JSON out."""
+    """Measure the size and seed given as arguments, and print the result as one line of JSON."""
     servers, routes, tenants, seed = map(int, sys.argv[1:5])
     print(json.dumps(measure(Size(servers, routes, tenants), seed)), flush=True)
 
--- a/lab/reload.py
+++ b/lab/reload.py
@@ -1,4 +1,4 @@
-"""The reload run: what a change of one tenant costs real gateways under way, and how soon it is in force."""
+"""The reload run: what a change of one tenant costs running gateways, and how soon it is in force."""
 
 from __future__ import annotations
 
@@ -25,49 +25,64 @@
 from lab.scale import WARM_S
 
 DAY_S = 86_400
-CHANGES_PER_DAY = 380  # changes a day that operators make
-RATE_FACTOR = 10  # as often, for which the cost is counted
-FLEET_GATEWAYS = 490
-MAX_PAUSE_MS = 5.0
+CHANGES_PER_DAY = 380  # configuration changes that operators make in a day
+RATE_FACTOR = 10  # the CPU cost is extrapolated to this multiple of the daily changes
+FLEET_GATEWAYS = 490  # gateways that the CPU cost is extrapolated to
+MAX_PAUSE_MS = 5.0  # a change that adds more than this to the largest latency is reported as a pause
 MIN_CHANGES = 3
-MEMORY_SAMPLES = 20  # of memory
-ISOLATED_CHANGES = 5  # changes whose processor time is counted, with nothing else under way
-MIN_WAIT_S = 0.2  # for each, at least
-WAIT_FACTOR = 3.0  # as long as the slowest change so far
-MAX_SIMULATED_CHANGES = 100  # the first ones
+MEMORY_SAMPLES = 20  # memory measurements during the consecutive changes
+ISOLATED_CHANGES = 5  # changes whose CPU time is measured without any requests
+MIN_WAIT_S = 0.2  # the CPU time of an isolated change is measured over at least this time
+WAIT_FACTOR = 3.0  # and over at least this multiple of the slowest change so far
+MAX_SIMULATED_CHANGES = 100  # simulated gateways make no more changes than this
 
 LATENCY_KEYS = ("p50_ms", "p99_ms", "most_ms")
 
 
 class Plan(msgspec.Struct, frozen=True, kw_only=True):
-    """A run's sizes; result.json holds them under their encoded names."""
+    """The sizes of a run; result.json stores them under their encoded names.
+
+    Attributes:
+        servers: Endpoints in the fleet.
+        routes: Routes in the configuration.
+        tenants: Tenants in the configuration.
+        real: Real gateways.
+        simulated: Simulated gateways.
+        rate: Requests per second to each real gateway; as many bypass the gateways.
+        seconds: Duration of the requests without changes, and again of the requests with changes.
+        every_s: Time between two changes during requests.
+        changes: Changes made afterwards, one immediately after the other.
+        seed: The seed of the schedules.
+        memory_mb: The memory limit of all processes.
+        late_ms: Largest lateness at p99 with which the schedule counts as kept.
+    """
 
     servers: int
     routes: int
     tenants: int
     real: int
     simulated: int = msgspec.field(name="hollow")
-    rate: float  # requests a second to each real gateway, and as many straight
-    seconds: float  # of requests without changes, and as long with them
-    every_s: float  # between two changes while requests go on
-    changes: int  # one after the other afterwards
+    rate: float
+    seconds: float
+    every_s: float
+    changes: int
     seed: int
     memory_mb: int
     late_ms: float
 
     @property
     def changes_with_requests(self) -> int:
-        """Changes while requests go on."""
+        """Number of changes made during requests."""
         return max(MIN_CHANGES, int(self.seconds / self.every_s))
 
     @property
     def request_phase_s(self) -> float:
-        """Seconds of requests, once with changes and once without."""
+        """Duration of each of the two phases with requests, warm-up included."""
         return max(self.seconds, self.changes_with_requests * self.every_s) + WARM_S
 
 
 def make_scale_plan(plan: Plan) -> records.Plan:
-    """The sizes of the parts that are in common."""
+    """Return the plan of a scale run with the same sizes, for the rig."""
     return records.Plan(
         servers=plan.servers,
         routes=plan.routes,
@@ -86,7 +101,7 @@
 
 
 class ReloadRun:
-    """The parts of a run; those that it has in common with `lab scale` are the rig's."""
+    """Runs the phases of a reload run; the rig starts the processes that `lab scale` uses too."""
 
     def __init__(self, plan: Plan, children: Children, out: Path, report_progress: ReportProgress) -> None:
         self.plan = plan
@@ -100,7 +115,7 @@
         )
 
     async def open(self) -> None:
-        """Start all processes, and read the gateways' files."""
+        """Start all processes and read the configuration files of the gateways."""
         rig = self.rig
         await rig.open()
         await rig.set_fleet(self.plan.servers)
@@ -110,7 +125,7 @@
             self.driver.add_gateway(gateway, rig.out / "logs" / f"{gateway.child.name}.json")
 
     async def play_requests(self, every_s: float | None) -> dict[str, Any]:
-        """Requests for a while, through the gateways and straight; with changes, or without."""
+        """Send requests through the gateways and past them; make changes unless `every_s` is None."""
         plan = self.plan
         rig = self.rig
         histograms: dict[str, Hist] = {}
@@ -131,7 +146,7 @@
         return result | ({"in_force": summaries(histograms)} if every_s else {})
 
     async def measure_isolated_changes(self) -> dict[str, Any]:
-        """Processor time of a change with no request under way, and no look until it is over."""
+        """Measure the CPU time of changes while no request or probe is in flight."""
         reals = self.rig.reals
         changed_cpu_s: list[float] = []
         idle_cpu_s: list[float] = []
@@ -170,7 +185,7 @@
         }
 
     async def measure_consecutive_changes(self) -> dict[str, Any]:
-        """Changes one after the other without a wait; the memory that each gateway holds in between."""
+        """Make changes without pauses, and measure the memory of each gateway between them."""
         plan = self.plan
         rig = self.rig
         histograms: dict[str, Hist] = {}
@@ -209,7 +224,7 @@
         }
 
     async def measure_simulated(self) -> dict[str, Any]:
-        """The same changes at simulated gateways, step by step."""
+        """Make the same changes at simulated gateways and return the cost of their steps."""
         plan = self.plan
         path, _ = self.rig.write_config("hollow", plan.servers, plan.routes, plan.tenants, 0, plan.real)
         child = await self.rig.children.start("hollow", "lab.changes")
@@ -225,12 +240,12 @@
 
 
 def summaries(histograms: dict[str, Hist]) -> dict[str, Any]:
-    """The summary of each histogram."""
+    """Return the summary of each histogram."""
     return {key: hist.summary() for key, hist in histograms.items()}
 
 
 def compare_phases(without_changes: dict[str, Any], with_changes: dict[str, Any]) -> dict[str, Any]:
-    """What changes add to requests through gateways, straight ones and answers of the loop alone."""
+    """Return the latency that changes add to requests by gateways, direct requests and polls."""
     added = {
         target: {key: with_changes[target][key] - without_changes[target][key] for key in LATENCY_KEYS}
         for target in ("gateway", "direct", "loop")
@@ -247,7 +262,7 @@
 
 
 async def play(plan: Plan, out: Path, report_progress: ReportProgress) -> dict[str, Any]:
-    """The whole run; every child has ended when it returns, also by an exception."""
+    """Play the run and return its result; all child processes end, also if an exception is raised."""
     started_s, figures = time.monotonic(), dict[str, Any]()
     logs = out / "logs"
     logs.mkdir(parents=True, exist_ok=True)
@@ -263,11 +278,11 @@
             with_changes["a_day"] = DAY_S / plan.every_s
             with_changes["times_daily"] = DAY_S / plan.every_s / CHANGES_PER_DAY
             figures |= compare_phases(without_changes, with_changes)
-            report_progress(f"{ISOLATED_CHANGES} changes alone")
+            report_progress(f"{ISOLATED_CHANGES} changes without requests")
             figures["alone"] = await run.measure_isolated_changes()
-            report_progress(f"{plan.changes} changes one after the other")
+            report_progress(f"{plan.changes} consecutive changes")
             figures["many"] = await run.measure_consecutive_changes()
-            report_progress(f"{plan.simulated} hollow gateways")
+            report_progress(f"{plan.simulated} simulated gateways")
             figures["hollow"] = await run.measure_simulated()
         except MemoryBoundError as error:
             run.rig.problems.over_bound.append(str(error))
--- a/lab/report.py
+++ b/lab/report.py
@@ -1,4 +1,4 @@
-"""What a scale run found: its tables."""
+"""The tables of a scale run's result."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
     "scenario", "changes", "hollow in force ms p50", "p99", "most", "gateway in force ms p50", "p99", "most",
     "not within 3 s", "added ms p50", "p99",
 )  # fmt: skip
-NO_FIGURES = "no figures: they are those of an overloaded rig"
+NO_FIGURES = "no figures: the rig was overloaded"
 SLOPE_COLUMNS = ("of", "by one of", "slope", "unit", "at zero", "residual/rise", "sizes")
 
 
 def format_number(value: float | None) -> str:
-    """Three digits, or whole; "-" for none."""
+    """Format a number with three digits, or as an integer from 1000 on; None becomes "-"."""
     if value is None:
         return "-"
     return f"{value:.3g}" if abs(value) < 1000 else f"{value:.0f}"
 
 
 def problem_notes(result: dict[str, Any]) -> list[str]:
-    """A line for each thing that speaks against the figures."""
+    """Return a line for each problem that makes the figures doubtful."""
     return [
         *(f"over the bound: {name}" for name in result["over_bound"]),
         *(f"broken: {problem}" for problem in result["broken"]),
@@ -36,14 +36,14 @@
 
 
 def format_result(result: dict[str, Any]) -> str:
-    """The tables: a line a role, a scenario, a slope. An overloaded rig has no figures, only the reasons."""
+    """Return tables of roles, scenarios and slopes, and notes; only the notes if the rig was overloaded."""
     notes = problem_notes(result)
     figures = result.get("figures")
     if figures is None:
         return "\n".join([*notes, NO_FIGURES])
     busiest = {name: role["busiest_cpu_s_per_s"] for name, role in figures["roles"].items()}
     notes += [
-        f"{name}: one took {cpu_share:.2f} of a core"
+        f"{name}: one process used {cpu_share:.2f} of a core"
         for name, cpu_share in busiest.items()
         if cpu_share > SATURATED_CPU_SHARE
     ]
@@ -59,7 +59,7 @@
 
 
 def role_row(name: str, role: dict[str, Any]) -> list[str]:
-    """A line on a role."""
+    """Return the table row of a role."""
     in_force, added = role.get("in_force") or {}, role.get("added") or {}
     cells = [
         role["resident_mb"],
@@ -77,7 +77,7 @@
 
 
 def scenario_row(name: str, scenario: dict[str, Any]) -> list[str]:
-    """A line on a scenario."""
+    """Return the table row of a scenario."""
     cells = [
         (scenario[key] or {}).get(percentile)
         for key in ("hollow_in_force", "gateway_in_force")
@@ -89,21 +89,21 @@
 
 
 def slope_rows(figures: dict[str, Any]) -> list[list[str]]:
-    """A line on each slope."""
+    """Return the table rows of the slopes."""
     rows = []
     for kind, fits in figures["slopes"].items():
         over_bound_count = sum(
             bool(point.get("over_bound") or point.get("over_time")) for point in figures["points"][kind]
         )
         if not fits:
-            rows.append(["all", f"{kind}: no size ended whole"])
+            rows.append(["all", f"{kind}: no size stayed within the bounds"])
         for metric, fit in fits.items():
             title, factor, unit = METRICS[metric]
             if fit is None:
-                rows.append([title, f"{kind}: too few sizes ended whole"])
+                rows.append([title, f"{kind}: too few sizes stayed within the bounds"])
                 continue
             residual_share, sizes = format_number(fit["residual_share"]), str(len(fit["sizes"]))
             slope, at_zero = format_number(fit["slope"] * factor), format_number(fit["at_zero"] * factor)
-            sizes += f", {over_bound_count} over" if over_bound_count else ""
+            sizes += f", {over_bound_count} over the bounds" if over_bound_count else ""
             rows.append([title, kind, slope, unit, at_zero, residual_share, sizes])
     return rows
--- a/lab/simulated_gateways.py
+++ b/lab/simulated_gateways.py
@@ -1,7 +1,7 @@
-"""Simulated gateways: the real Discovery and Balancer, many in a process, with seeded requests and outcomes.
+"""Simulated gateways: many Balancers with discovery clients in a process, with seeded requests and outcomes.
 
-Instead of client sockets and connections to servers there are a schedule and a clock. What the balancer asks
-of discovery and of timers is carried out as the real gateway does it.
+A schedule replaces the clients, and timers replace the connections to endpoints. Discovery and the timers of
+the Balancer work as in the real gateway.
 """
 
 from __future__ import annotations
@@ -50,16 +50,28 @@
 from load_balancer.gateway.discovery_messages import WatchEvent
 
 TIMEOUT_US = 2_000_000
-ANSWER_S = 0.005
-ERROR_SHARE = 0.03
-PLAN_INTERVAL_S = 1.0  # of requests planned at a time
-PLANNED_ANSWERS = 4096
+ANSWER_S = 0.005  # mean latency of an attempt
+ERROR_SHARE = 0.03  # share of the attempts that end as an error
+PLAN_INTERVAL_S = 1.0  # requests are planned for this time at once
+PLANNED_ANSWERS = 4096  # drawn in advance and repeated
 
-ChangeKey = tuple[int, str, int]  # endpoint's id, status, start in us
+ChangeKey = tuple[int, str, int]  # endpoint id, status, start in microseconds
 
 
 class SimulatedGateway:
-    """One gateway: its Balancer and its client of discovery."""
+    """One gateway: its Balancer and its discovery client.
+
+    Attributes:
+        pool: The pool that the gateway belongs to.
+        balancer: The Balancer.
+        discovery: The discovery client.
+        events: Events that wait until the Balancer has handled an earlier one.
+        delivering: Whether the Balancer is handling events.
+        attempts: By request, a timer for each attempt, or None once it has ended.
+        endpoint_ids: The endpoint of each attempt in flight, by request and attempt.
+        began_ns: When the gateway was started.
+        list_count: Messages from discovery that the Balancer has handled.
+    """
 
     def __init__(self, pool: GatewayPool, config: Config, seed: int) -> None:
         self.pool = pool
@@ -75,7 +87,7 @@
         self.list_count = 0
 
     def receive(self, message: WatchEvent) -> None:
-        """Deliver what discovery sends, and note when it is in force."""
+        """Pass a message from discovery to the Balancer, and record when its changes are in force."""
         event = message.to_balancer_event()
         began = time.perf_counter_ns()
         self.deliver(event)
@@ -86,7 +98,7 @@
         else:
             self.pool.list_latency.add((time.perf_counter_ns() - began) / 1e3)
         self.list_count += 1
-        if self.list_count == 1:  # the list as last held, which the real gateway calls ready
+        if self.list_count == 1:  # the cached list, with which the real gateway is ready
             self.pool.ready.add((done_ns - self.began_ns) / 1e3)
             return
         for endpoint in event.endpoints if event.kind is ListKind.DELTA else ():
@@ -94,7 +106,7 @@
             self.pool.received.setdefault(key, []).append(done_ns)
 
     def deliver(self, event: Event) -> None:
-        """Give an event to the Balancer and execute what it decides."""
+        """Pass an event to the Balancer and execute the actions that it returns."""
         self.events.append(event)
         if self.delivering:
             return
@@ -107,7 +119,7 @@
             self.delivering = False
 
     def execute(self, action: Action) -> None:
-        """Execute an action as the real gateway does, but for connections and clients."""
+        """Execute an action as the real gateway does, except for connections and clients."""
         loop, counts = self.pool.loop, self.pool.counts
         match action:
             case Send():
@@ -136,7 +148,7 @@
                 self.discovery.poll()
 
     def end_attempt(self, request: str, attempt: int, outcome: Outcome, latency_us: int) -> None:
-        """End an attempt as its draw says."""
+        """Report the end of an attempt to the Balancer."""
         self.attempts[request][attempt] = None
         endpoint_id = self.endpoint_ids.pop((request, attempt))
         finished = outcome is Outcome.OK
@@ -147,13 +159,28 @@
         self.drop_if_ended(request)
 
     def drop_if_ended(self, request: str) -> None:
-        """Drop a request that has no attempt in flight."""
+        """Forget a request that has no attempt in flight."""
         if not any(self.attempts.get(request, ())):
             self.attempts.pop(request, None)
 
 
 class GatewayPool:
-    """The gateways of one process, the requests to them and what they have received."""
+    """The gateways of one process, the requests to them and their counters.
+
+    Attributes:
+        loop: The event loop of the process.
+        clock: The clock of the gateways.
+        gateways: All gateways of the process.
+        config: The configuration that the gateways share, once it has been read.
+        received: When each change was handled, in nanoseconds, one time for each gateway.
+        ready: Time from a gateway's start until it was ready.
+        list_latency: Time to handle an endpoint list.
+        late: How far requests were behind their schedule.
+        counts: Requests and attempts by what became of them.
+        spent_ns: Wall time spent on requests and the ends of attempts.
+        answers: Latencies in seconds and outcomes of attempts.
+        requests: The task that sends requests.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -170,11 +197,11 @@
         self.requests: asyncio.Task[None] | None = None
 
     def next_answer(self) -> tuple[float, Outcome]:
-        """Seconds until the next attempt ends, and how."""
+        """Return the latency in seconds and the outcome of the next attempt."""
         return self.answers[self.counts["sent"] % len(self.answers)]
 
     def read_config(self, path: str, address: str, seed: int) -> None:
-        """The settings are held once for all gateways of the process."""
+        """Read the configuration that all gateways of the process share, and draw the answers."""
         raw = json.loads(Path(path).read_text(encoding="utf-8"))
         self.config = parse_config(raw | {"discovery": address})
         rng = schedule.stream(seed, "outcomes")
@@ -193,10 +220,10 @@
             gateway = SimulatedGateway(self, replace(self.config, settings=settings), seed + number)
             self.gateways.append(gateway)
             gateway.discovery.start(self.config.cached_endpoint_list)
-            await asyncio.sleep(0)  # what the earlier ones receive is read in between
+            await asyncio.sleep(0)  # lets the gateways already started read their messages
 
     async def send_requests(self, rate: float, routes: int, tenants: int, seed: int) -> None:
-        """Send requests at `rate` a second to each gateway, until cancelled."""
+        """Send `rate` requests per second to each gateway until cancelled."""
         start = time.monotonic()
         interval = 0
         while True:
@@ -237,7 +264,7 @@
             await asyncio.sleep(max(0.0, start + interval * PLAN_INTERVAL_S - time.monotonic()))
 
     def measure_in_force(self, changes: list[WrittenChange]) -> InForce:
-        """From each change at discovery to its being in force, over all gateways here."""
+        """Return the times from when discovery wrote changes until they were in force at these gateways."""
         histogram = Hist()
         unseen = 0
         for change in changes:
@@ -250,7 +277,7 @@
         return InForce(histogram.text(), unseen)
 
     async def stop_requests(self) -> None:
-        """Send no more requests; raises what has ended them before."""
+        """Stop sending requests; an exception that ended the sending is raised here."""
         if self.requests is not None:
             self.requests.cancel()
             await asyncio.wait([self.requests])
@@ -259,7 +286,7 @@
             self.requests = None
 
     async def handle(self, command: PoolCommand) -> Any:
-        """Carry out a command; returns its answer."""
+        """Execute a command and return its answer."""
         match command:
             case ReadConfig():
                 self.read_config(command.path, command.address, command.seed)
@@ -269,7 +296,7 @@
                 await self.add_gateways(command.count, command.first, command.seed)
             case StartRequests():
                 await self.stop_requests()
-                # A full collection would walk all the gateways here for the garbage of one.
+                # A full garbage collection would traverse the objects of all gateways in this process.
                 gc.freeze()
                 self.requests = self.loop.create_task(
                     self.send_requests(command.rate, command.routes, command.tenants, command.seed)
@@ -283,7 +310,7 @@
         return None
 
     def read_stats(self) -> PoolStats:
-        """The counters; raises what has ended the requests."""
+        """Return the counters; an exception that ended the sending of requests is raised here."""
         if self.requests is not None and self.requests.done():
             self.requests.result()
         return PoolStats(
@@ -297,7 +324,7 @@
 
 
 def create_handler() -> Handler[PoolCommand]:
-    """The handler of commands, on the running event loop."""
+    """Return the handler of commands, which uses the running event loop."""
     return GatewayPool(asyncio.get_running_loop()).handle
 
 
--- a/tests/lab/conftest.py
+++ b/tests/lab/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that tests of the lab share."""
+"""Fixtures shared by the tests of the lab."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def played_runs(monkeypatch: pytest.MonkeyPatch) -> list[tuple[str, int]]:
-    """Runs are played in this process; policy and seed of each."""
+    """Play runs in this process, and record the policy and seed of each."""
     runs: list[tuple[str, int]] = []
 
     def play_sequentially(
--- a/tests/lab/test_changes.py
+++ b/tests/lab/test_changes.py
@@ -1,4 +1,4 @@
-"""Changes of one tenant."""
+"""Seeded changes of one tenant, and the configuration files that contain them."""
 
 from __future__ import annotations
 
--- a/tests/lab/test_main.py
+++ b/tests/lab/test_main.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""Invalid arguments of the lab's commands."""
 
 from __future__ import annotations
 
--- a/tests/lab/test_module.py
+++ b/tests/lab/test_module.py
@@ -1,4 +1,4 @@
-"""The decisions alone."""
+"""The command that measures one Balancer without sockets."""
 
 from __future__ import annotations
 
--- a/tests/lab/test_reload.py
+++ b/tests/lab/test_reload.py
@@ -1,4 +1,4 @@
-"""A tiny reload run."""
+"""A reload run at a small size."""
 
 from __future__ import annotations
 
--- a/tests/lab/test_stored_results.py
+++ b/tests/lab/test_stored_results.py
@@ -1,6 +1,6 @@
-"""Data that earlier versions have stored stays readable: lab results, knob names, the build's marker.
+"""Data stored by earlier versions stays readable: lab results, knob names and the marker of a build.
 
-The fixtures were written by commit 49e7d98. They are never written anew to make a test pass.
+Commit 49e7d98 wrote the fixtures. They must not be regenerated to make a test pass.
 """
 
 from __future__ import annotations
@@ -38,13 +38,13 @@
     "latency-percentiles": 1,
     "load-by-server-and-zone": 2,
     "breakers-and-limits-over-time": 1,
-    "broken-rules": 0,  # no rule was broken
+    "broken-rules": 0,  # the stored runs broke no rule
     "cost-by-kind": 1,
 }
 KNOB_EFFECTS: dict[str, dict[str, float]] = json.loads(
     (FIXTURES / "knob_effects.json").read_text(encoding="utf-8")
 )
-EXIT_COMMAND_NOT_FOUND = 127  # exit code of a shell that does not find a command
+EXIT_COMMAND_NOT_FOUND = 127
 
 
 def call_lab(*arguments: str | Path) -> int:
@@ -55,7 +55,7 @@
 
 
 def read_results(folder: Path) -> tuple[Result, list[Result]]:
-    """The header without the program's digest, and the results."""
+    """Return the header without the digest of the program, and the results."""
     header, results = read(folder / FILE)
     assert header is not None
     assert header.pop("program")
@@ -63,7 +63,7 @@
 
 
 def count_charts(page: str) -> dict[str, int]:
-    """By section of a report's page."""
+    """Return the number of charts in each section of a report page."""
     sections = page.split('<section id="')[1:]
     return {section.partition('"')[0]: section.count("<svg") for section in sections}
 
@@ -111,7 +111,7 @@
     assert "<h1>Fleet model: tiny</h1>" in page
     assert f"Policies: 2; seeds: 5; knobs: {knobs};" in page
     assert count_charts(page) == CHARTS
-    assert page.index(">rosedeal</span>") < page.index(">random</span>")  # in the order of the policies
+    assert page.index(">rosedeal</span>") < page.index(">random</span>")  # policies keep their order
 
 
 def test_results_of_another_program_are_not_continued(
@@ -139,7 +139,7 @@
     assert scenario_files.load(scenario_files.find("ordinary")) == scenario_files.load(ORDINARY)
 
 
-# Knobs by their stored names
+# Stored knob names
 
 
 @pytest.mark.parametrize(
@@ -168,7 +168,7 @@
 
 @pytest.mark.parametrize("text", KNOB_EFFECTS)
 def test_each_stored_knob_has_its_stored_effect(text: str) -> None:
-    """Of the names in knobs.json, those that change the first seed of tiny.toml when halved or doubled."""
+    """Covers the names in knobs.json that change the first seed of tiny.toml when halved or doubled."""
     knob, name = parse_knob(text), text.partition("=")[0]
     apply_knobs([knob])
     try:
@@ -212,7 +212,7 @@
 
 @pytest.fixture
 def build_folder(tmp_path: Path) -> Path:
-    """A checkout's folder with a finished build, and commands that only note how they were called."""
+    """A checkout with a finished build, and stand-ins for commands that record how they were called."""
     commands = tmp_path / "commands"
     commands.mkdir()
     for name in ("rm", "python3", "cp"):
@@ -230,7 +230,7 @@
 
 
 def run_build(folder: Path) -> tuple[int, list[str]]:
-    """Run the build command; returns its exit code, and what it called besides cmp."""
+    """Run the build command; return its exit code and the commands it called, except cmp."""
     command = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))["build"]
     path = str(folder.parent / "commands")
     environment = {**os.environ, "PATH": path}
@@ -252,5 +252,5 @@
     if marker is not None:
         path.write_text(marker)
     code, called = run_build(build_folder)
-    assert code == EXIT_COMMAND_NOT_FOUND  # the stand-in for python3 makes no .venv/bin/pip
+    assert code == EXIT_COMMAND_NOT_FOUND  # the stand-in for python3 creates no .venv/bin/pip
     assert called == ["rm -rf .venv", "python3 -m venv .venv"]
--- a/tests/lab/test_up.py
+++ b/tests/lab/test_up.py
@@ -1,4 +1,4 @@
-"""The deployment to try."""
+"""The example deployment."""
 
 from __future__ import annotations
 
