--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -33,7 +33,7 @@
     type=click.FloatRange(1),
     default=25.0,
     show_default=True,
-    help="Largest lateness at p99 with which the schedule counts as kept.",
+    help="Largest lateness at p99, in ms, with which the schedule counts as kept.",
 )
 out_option = click.option(
     "--out",
--- a/lab/change_driver.py
+++ b/lab/change_driver.py
@@ -80,7 +80,7 @@
             async with asyncio.timeout(IN_FORCE_TIMEOUT_S):
                 if (status := (await self.send_probe(reader, writer, change))[0]) != status_before:
                     self._problems.broken.append(
-                        f"expected status {status_before} before a change, got {status}"
+                        f"{status_before} expected as status before a change, got {status}"
                     )
                 signalled_ns = self.signal_reload(gateway)
                 while True:
--- a/lab/reload.py
+++ b/lab/reload.py
@@ -54,7 +54,7 @@
         changes: Changes made afterwards, one immediately after the other.
         seed: The seed of the schedules.
         memory_mb: The memory limit of all processes.
-        late_ms: Largest lateness at p99 with which the schedule counts as kept.
+        late_ms: Largest lateness at p99, in milliseconds, with which the schedule counts as kept.
     """
 
     servers: int
