--- a/lab/change_driver.py
+++ b/lab/change_driver.py
@@ -97,12 +97,11 @@
         done_ns = time.perf_counter_ns()
         self.slowest_s = max(self.slowest_s, (done_ns - signalled_ns) / 1e9)
         for label, duration_ns in (
-            ("from_rename", done_ns - self._renamed_ns),  # since the rename of the last gateway's file
+            # The file of the last gateway is the last one renamed.
+            ("from_rename", done_ns - self._renamed_ns),
             ("from_signal", done_ns - signalled_ns),
-            (
-                "from_signal_to_asked",
-                max(0, sent_ns - signalled_ns),
-            ),  # the first probe that got the new status
+            # Until the first probe that got the new status was sent.
+            ("from_signal_to_asked", max(0, sent_ns - signalled_ns)),
             ("added_from_signal" if change.added else "dropped_from_signal", done_ns - signalled_ns),
         ):
             histograms.setdefault(label, Hist()).add(duration_ns / 1e3)
--- a/lab/changes.py
+++ b/lab/changes.py
@@ -66,7 +66,10 @@
 
 
 def generate_changes(seed: int, tenants: int, count: int) -> list[TenantChange]:
-    """Return changes that alternately add a new tenant and remove it again."""
+    """Return seeded changes that alternately add a new tenant and remove it again.
+
+    At any time there is at most one tenant besides the first `tenants`.
+    """
     rng = schedule.stream(seed, "changes")
     generated: list[TenantChange] = []
     for number in range(count):
--- a/lab/figures.py
+++ b/lab/figures.py
@@ -59,7 +59,8 @@
         messages_per_s: Messages sent and received per second and member.
         ready_s: Time from start to ready: the longest of real gateways, p99 of simulated ones.
         start_cpu_s: Most CPU seconds that a gateway used until it was ready.
-        in_force: Time until a change at discovery was in force.
+        in_force: Time until changes at discovery were in force. At real gateways this is the time until idle
+            connections to a leaving endpoint were closed.
         not_in_force: Idle connections that were not closed in time after their endpoint began to leave.
         added: Latency with and without the gateways, and the latency that they add.
         list_read: Time to process an endpoint list.
@@ -249,7 +250,7 @@
 
 
 def check_schedule(problems: Problems, late_ms: float) -> dict[str, Any]:
-    """Report whether the run kept its schedule; processes that were too late are added to the problems."""
+    """Return whether the run kept its schedule; processes that were too late are added to the problems."""
     late = {process: histogram.summary() for process, histogram in problems.late.items()}
     for process, summary in late.items():
         if summary is not None and summary["p99_ms"] > late_ms:
--- a/tests/lab/test_changes.py
+++ b/tests/lab/test_changes.py
@@ -10,6 +10,7 @@
 
 
 def test_equal_seeds_generate_equal_changes_of_one_tenant_each(tmp_path: Path) -> None:
+    """Each change adds a tenant or removes the one just added, and leaves the rest of the file as it was."""
     first, repeated, other_seed = (generate_changes(seed, tenants=5, count=20) for seed in (1, 1, 2))
     assert first == repeated
     assert first != other_seed
--- a/tests/lab/test_main.py
+++ b/tests/lab/test_main.py
@@ -34,6 +34,7 @@
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """A mistake in the arguments must print neither a traceback nor click's usage text."""
     monkeypatch.chdir(tmp_path)
     with pytest.raises(SystemExit) as ended:
         lab.main(list(arguments))
--- a/tests/lab/test_stored_results.py
+++ b/tests/lab/test_stored_results.py
@@ -48,7 +48,7 @@
 
 
 def call_lab(*arguments: str | Path) -> int:
-    """Run a lab command in this process; returns its exit code."""
+    """Run a lab command in this process and return its exit code."""
     with pytest.raises(SystemExit) as ended:
         lab.main([str(argument) for argument in arguments])
     return int(ended.value.code or 0)
@@ -117,6 +117,7 @@
 def test_results_of_another_program_are_not_continued(
     stored_after: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
+    """Runs of two programs in one file would be compared as if one program had made them."""
     path = stored_after / FILE
     header, results = read(path)
     assert header is not None
@@ -240,6 +241,7 @@
 
 
 def test_finished_build_is_not_repeated(build_folder: Path) -> None:
+    """Repeating the build command must not install the same packages again."""
     assert run_build(build_folder) == (0, [])
     marker = build_folder / ".venv" / "built"
     assert marker.read_bytes() == (build_folder / "requirements.txt").read_bytes()
@@ -247,6 +249,7 @@
 
 @pytest.mark.parametrize("marker", [None, "", "an-older-list==1\n"])
 def test_build_without_its_marker_starts_over(build_folder: Path, marker: str | None) -> None:
+    """Without a marker equal to requirements.txt, the virtual environment is incomplete or outdated."""
     path = build_folder / ".venv" / "built"
     path.unlink()
     if marker is not None:
--- a/tests/lab/test_up.py
+++ b/tests/lab/test_up.py
@@ -15,6 +15,7 @@
 
 
 def test_example_deployment_answers_its_curl_command_and_ends_its_children() -> None:
+    """The printed command must get a 200 through a gateway; SIGINT must leave no child process behind."""
     with subprocess.Popen(
         [sys.executable, "-m", "lab", "up"], stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True
     ) as child:
