--- a/lab/change_driver.py
+++ b/lab/change_driver.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 
 from lab.changes import ConfigDocument, TenantChange
-from lab.child import Hist
-from lab.clients import ask_bytes
+from lab.child import Histogram
+from lab.clients import encode_request
 from lab.readiness import fetch
 from lab.records import Problems
 from lab.rig import RealGateway
@@ -58,12 +58,12 @@
 
     def signal_reload(self, gateway: RealGateway) -> int:
         """Signal a gateway to reload its file, and return the time of the signal in nanoseconds."""
-        gateway.child.check()
+        gateway.child.raise_if_ended()
         signalled_ns = time.perf_counter_ns()
         os.kill(gateway.child.process.pid, signal.SIGHUP)
         return signalled_ns
 
-    async def make_change(self, histograms: dict[str, Hist]) -> None:
+    async def make_change(self, histograms: dict[str, Histogram]) -> None:
         """Make one change at all gateways and wait until it is in force at each."""
         change = await self.write_next_change()
         await asyncio.gather(
@@ -71,7 +71,7 @@
         )
 
     async def _measure_change(
-        self, gateway: RealGateway, change: TenantChange, histograms: dict[str, Hist]
+        self, gateway: RealGateway, change: TenantChange, histograms: dict[str, Histogram]
     ) -> None:
         """Signal a gateway, and probe it for the tenant on one connection until the change is in force."""
         status_before, status_after = (400, 200) if change.added else (200, 400)
@@ -89,7 +89,7 @@
                         break
                     await asyncio.sleep(POLL_S)
         except TimeoutError:
-            gateway.child.check()
+            gateway.child.raise_if_ended()
             self._problems.broken.append(f"a change was not in force within {IN_FORCE_TIMEOUT_S:g} s")
             return
         finally:
@@ -104,7 +104,7 @@
             ("from_signal_to_asked", max(0, sent_ns - signalled_ns)),
             ("added_from_signal" if change.added else "dropped_from_signal", done_ns - signalled_ns),
         ):
-            histograms.setdefault(label, Hist()).add(duration_ns / 1e3)
+            histograms.setdefault(label, Histogram()).record(duration_ns / 1e3)
 
     async def send_probe(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, change: TenantChange
@@ -113,6 +113,6 @@
         self._probe_count += 1
         sent_ns = time.perf_counter_ns()
         status, _ = await fetch(
-            reader, writer, ask_bytes(0, change.tenant_number, FIRST_PROBE_ID + 2 * self._probe_count)
+            reader, writer, encode_request(0, change.tenant_number, FIRST_PROBE_ID + 2 * self._probe_count)
         )
         return status, sent_ns
--- a/lab/reload.py
+++ b/lab/reload.py
@@ -13,7 +13,7 @@
 from lab import fit, records
 from lab.change_driver import ChangeDriver
 from lab.changes import generate_changes
-from lab.child import Hist
+from lab.child import Histogram
 from lab.figures import check_schedule, machine_info
 from lab.gateway_messages import (
     MeasureChanges,
@@ -22,7 +22,7 @@
 )
 from lab.processes import Children, MemoryBoundError
 from lab.rig import ReportProgress, Rig
-from lab.scale import WARM_S
+from lab.scale import WARM_UP_S
 
 DAY_S = 86_400
 CHANGES_PER_DAY = 380  # configuration changes that operators make in a day
@@ -78,7 +78,7 @@
     @property
     def request_phase_s(self) -> float:
         """Duration of each of the two phases with requests, warm-up included."""
-        return max(self.seconds, self.changes_with_requests * self.every_s) + WARM_S
+        return max(self.seconds, self.changes_with_requests * self.every_s) + WARM_UP_S
 
 
 def make_scale_plan(plan: Plan) -> records.Plan:
@@ -119,35 +119,40 @@
         rig = self.rig
         await rig.open()
         await rig.set_fleet(self.plan.servers)
-        await rig.start_reals()
+        await rig.start_real_gateways()
         self.poller = await rig.children.start("pulse", "lab.changes")
-        for gateway in rig.reals:
+        for gateway in rig.real_gateways:
             self.driver.add_gateway(gateway, rig.out / "logs" / f"{gateway.child.name}.json")
 
     async def play_requests(self, every_s: float | None) -> dict[str, Any]:
         """Send requests through the gateways and past them; make changes unless `every_s` is None."""
         plan = self.plan
         rig = self.rig
-        histograms: dict[str, Hist] = {}
+        histograms: dict[str, Histogram] = {}
         finish = await rig.play_clients(
-            rig.reals, plan.rate * plan.real, plan.request_phase_s, plan.routes, plan.tenants, warm=WARM_S
+            rig.real_gateways,
+            plan.rate * plan.real,
+            plan.request_phase_s,
+            plan.routes,
+            plan.tenants,
+            warm_up_s=WARM_UP_S,
         )
-        start_s = time.monotonic() + WARM_S
-        await self.poller.ask(StartPolling(gateways=[gateway.address for gateway in rig.reals]))
+        start_s = time.monotonic() + WARM_UP_S
+        await self.poller.execute(StartPolling(gateways=[gateway.address for gateway in rig.real_gateways]))
         for number in range(plan.changes_with_requests if every_s else 0):
             await asyncio.sleep(max(0.0, start_s + (number + 0.25) * plan.every_s - time.monotonic()))
             await self.driver.make_change(histograms)
         targets = await finish()
         result: dict[str, Any] = {
-            name: {**(Hist(target_result.latency).summary() or {}), "answers": target_result.counts}
+            name: {**(Histogram(target_result.latency).summary() or {}), "answers": target_result.counts}
             for name, target_result in targets.items()
         }
-        result["loop"] = Hist(await self.poller.ask(StopPolling())).summary()
+        result["loop"] = Histogram(await self.poller.execute(StopPolling())).summary()
         return result | ({"in_force": summaries(histograms)} if every_s else {})
 
     async def measure_isolated_changes(self) -> dict[str, Any]:
         """Measure the CPU time of changes while no request or probe is in flight."""
-        reals = self.rig.reals
+        reals = self.rig.real_gateways
         changed_cpu_s: list[float] = []
         idle_cpu_s: list[float] = []
         for _ in range(ISOLATED_CHANGES):
@@ -188,22 +193,22 @@
         """Make changes without pauses, and measure the memory of each gateway between them."""
         plan = self.plan
         rig = self.rig
-        histograms: dict[str, Hist] = {}
+        histograms: dict[str, Histogram] = {}
         sample_interval = max(1, plan.changes // MEMORY_SAMPLES)
         resident_bytes: dict[str, list[int]] = {
-            gateway.child.name: [gateway.child.resident()] for gateway in rig.reals
+            gateway.child.name: [gateway.child.resident_bytes()] for gateway in rig.real_gateways
         }
         counts = [0]
         started_s = time.monotonic()
-        before = sum(gateway.child.cpu_s() for gateway in rig.reals)
+        before = sum(gateway.child.cpu_s() for gateway in rig.real_gateways)
         for number in range(1, plan.changes + 1):
             await self.driver.make_change(histograms)
             if number % sample_interval == 0:
                 counts.append(number)
-                for gateway in rig.reals:
-                    resident_bytes[gateway.child.name].append(gateway.child.resident())
+                for gateway in rig.real_gateways:
+                    resident_bytes[gateway.child.name].append(gateway.child.resident_bytes())
                 self.report_progress(f"{number} changes")
-        cpu_s = sum(gateway.child.cpu_s() for gateway in rig.reals) - before
+        cpu_s = sum(gateway.child.cpu_s() for gateway in rig.real_gateways) - before
         first_sample = next(
             (index for index, change_count in enumerate(counts) if change_count >= plan.changes / 10), 0
         )
@@ -211,13 +216,13 @@
             "changes": plan.changes,
             "took_s": time.monotonic() - started_s,
             "in_force": summaries(histograms),
-            "cpu_s_each_with_polls": cpu_s / plan.changes / len(rig.reals),
+            "cpu_s_each_with_polls": cpu_s / plan.changes / len(rig.real_gateways),
             "memory": {
                 name: {
                     "first_bytes": samples[0],
                     "after_a_tenth_bytes": samples[first_sample],
                     "last_bytes": samples[-1],
-                    "line": fit.line(counts[first_sample:], samples[first_sample:]),
+                    "line": fit.fit_line(counts[first_sample:], samples[first_sample:]),
                 }
                 for name, samples in resident_bytes.items()
             },
@@ -235,11 +240,11 @@
             tenants=plan.tenants,
             changes=min(plan.changes, MAX_SIMULATED_CHANGES),
         )
-        result: dict[str, Any] = msgspec.to_builtins(await child.ask(command))
+        result: dict[str, Any] = msgspec.to_builtins(await child.execute(command))
         return result
 
 
-def summaries(histograms: dict[str, Hist]) -> dict[str, Any]:
+def summaries(histograms: dict[str, Histogram]) -> dict[str, Any]:
     """Return the summary of each histogram."""
     return {key: hist.summary() for key, hist in histograms.items()}
 
@@ -294,6 +299,6 @@
             "schedule": schedule,
             "over_bound": run.rig.problems.over_bound,
             "broken": list(dict.fromkeys(run.rig.problems.broken)),
-            "memory_most_mb": children.most_bytes / 1e6,
+            "memory_most_mb": children.peak_bytes / 1e6,
             "figures" if schedule["kept"] else "void": figures,
         }
--- a/lab/simulated_gateways.py
+++ b/lab/simulated_gateways.py
@@ -18,7 +18,7 @@
 import psutil
 
 from lab import fleet, schedule
-from lab.child import Handler, Hist, serve
+from lab.child import Handler, Histogram, serve
 from lab.gateway_messages import (
     AddGateways,
     InForce,
@@ -96,10 +96,10 @@
             if self.list_count:
                 return
         else:
-            self.pool.list_latency.add((time.perf_counter_ns() - began) / 1e3)
+            self.pool.list_latency.record((time.perf_counter_ns() - began) / 1e3)
         self.list_count += 1
         if self.list_count == 1:  # the cached list, with which the real gateway is ready
-            self.pool.ready.add((done_ns - self.began_ns) / 1e3)
+            self.pool.ready.record((done_ns - self.began_ns) / 1e3)
             return
         for endpoint in event.endpoints if event.kind is ListKind.DELTA else ():
             key = (endpoint.id, endpoint.status.value, endpoint.started_us)
@@ -188,9 +188,9 @@
         self.gateways: list[SimulatedGateway] = []
         self.config: Config | None = None
         self.received: dict[ChangeKey, list[int]] = {}
-        self.ready = Hist()
-        self.list_latency = Hist()
-        self.late = Hist()
+        self.ready = Histogram()
+        self.list_latency = Histogram()
+        self.late = Histogram()
         self.counts = dict.fromkeys(("asked", "sent", "served", "refused", "failed"), 0)
         self.spent_ns = 0
         self.answers: list[tuple[float, Outcome]] = []
@@ -247,7 +247,7 @@
                 wait_s = start + interval * PLAN_INTERVAL_S + arrival_s - time.monotonic()
                 if wait_s > 0:
                     await asyncio.sleep(wait_s)
-                self.late.add((time.monotonic() - start - interval * PLAN_INTERVAL_S - arrival_s) * 1e6)
+                self.late.record((time.monotonic() - start - interval * PLAN_INTERVAL_S - arrival_s) * 1e6)
                 self.counts["asked"] += 1
                 started = time.perf_counter_ns()
                 self.gateways[target].deliver(
@@ -265,16 +265,16 @@
 
     def measure_in_force(self, changes: list[WrittenChange]) -> InForce:
         """Return the times from when discovery wrote changes until they were in force at these gateways."""
-        histogram = Hist()
+        histogram = Histogram()
         unseen = 0
         for change in changes:
             key = (change.endpoint_id, change.status, change.started_us)
             received = self.received.get(key, ())
             for done_ns in received:
-                histogram.add((done_ns - change.written_ns) / 1e3)
+                histogram.record((done_ns - change.written_ns) / 1e3)
             unseen += max(0, len(self.gateways) - len(received))
         self.received.clear()
-        return InForce(histogram.text(), unseen)
+        return InForce(histogram.encode(), unseen)
 
     async def stop_requests(self) -> None:
         """Stop sending requests; an exception that ended the sending is raised here."""
@@ -315,9 +315,9 @@
             self.requests.result()
         return PoolStats(
             gateways=len(self.gateways),
-            ready=self.ready.text(),
-            list_read=self.list_latency.text(),
-            late=self.late.text(),
+            ready=self.ready.encode(),
+            list_read=self.list_latency.encode(),
+            late=self.late.encode(),
             counts=self.counts,
             spent_ns=self.spent_ns,
         )
