--- a/lab/module.py
+++ b/lab/module.py
@@ -280,8 +280,8 @@
 def median_result(results: list[dict[str, Any]]) -> dict[str, Any]:
     """Return the median of each figure over several runs of one size.
 
-    `spread` is the range of the calm median request time, relative to its median. If a run has failed, its
-    result is returned.
+    `spread` is the range of the calm median request time, relative to its median. If runs have failed, the
+    result of the first of them is returned.
     """
     if failed := [result for result in results if "failed" in result]:
         return failed[0]
--- a/lab/simulated_gateways.py
+++ b/lab/simulated_gateways.py
@@ -70,7 +70,7 @@
         attempts: By request, a timer for each attempt, or None once it has ended.
         endpoint_ids: The endpoint of each attempt in flight, by request and attempt.
         began_ns: When the gateway was started.
-        list_count: Messages from discovery that the Balancer has handled.
+        list_count: Messages handled from discovery, except empty ones after the first.
     """
 
     def __init__(self, pool: GatewayPool, config: Config, seed: int) -> None:
