--- a/lab/reload.py
+++ b/lab/reload.py
@@ -250,7 +250,7 @@
 
 
 def compare_phases(without_changes: dict[str, Any], with_changes: dict[str, Any]) -> dict[str, Any]:
-    """Return the latency that changes add to requests by gateways, direct requests and polls."""
+    """Return the latency that changes add to requests through gateways, direct requests and polls."""
     added = {
         target: {key: with_changes[target][key] - without_changes[target][key] for key in LATENCY_KEYS}
         for target in ("gateway", "direct", "loop")
