--- a/lab/figures.py
+++ b/lab/figures.py
@@ -1,4 +1,4 @@
-"""The figures of a scale run, as result.json holds them."""
+"""Computes the figures of a scale run that are stored in result.json."""
 
 from __future__ import annotations
 
@@ -18,8 +18,10 @@
 from lab.rig import Rig
 from lab.statements import TARGETS
 
-FULL_CORE = 0.9  # of one process: it may no longer do everything when it is due
-UNITS = {
+# A process that uses more of a core than this may fall behind its schedule.
+SATURATED_CPU_SHARE = 0.9
+# Title, factor and unit of each figure in the table of slopes; a stored figure times the factor has the unit.
+METRICS = {
     "resident_bytes": ("resident memory", 1e-3, "kB"),
     "ready_s": ("start to ready", 1e3, "ms"),
     "start_cpu_s": ("processor at start", 1e3, "ms"),
@@ -33,19 +35,37 @@
     "hollow_cpu_s_per_s": ("hollow's processor", 1e6, "us/s"),
 }
 
-Scenarios = dict[str, ScenarioRecord]
-Summary = dict[str, float] | None  # of a histogram
+Scenarios = dict[str, ScenarioRecord]  # by name, in the order in which they were played
+LatencySummary = dict[str, float] | None  # summary of a histogram; None if it is empty
 
 
 class Traffic(msgspec.Struct, frozen=True):
-    """What a role has sent and received."""
+    """Bytes and messages that a role has sent and received."""
 
     bytes: float
     messages: float
 
 
 class Role(msgspec.Struct, kw_only=True):
-    """What one role took, over all scenarios; of gateways, each one's part."""
+    """The resources that one role used over all scenarios; for gateways, the mean of one gateway.
+
+    Attributes:
+        count: Members of the role.
+        processes: Processes of the role; one process runs many simulated gateways.
+        resident_mb: Resident memory per member.
+        cpu_s_per_s: CPU seconds per second and member.
+        busiest_cpu_s_per_s: CPU seconds per second of the busiest process.
+        bytes_per_s: Bytes sent and received per second and member.
+        messages_per_s: Messages sent and received per second and member.
+        ready_s: Time from start to ready: the longest of real gateways, p99 of simulated ones.
+        start_cpu_s: Most CPU seconds that a gateway used until it was ready.
+        in_force: Time until changes at discovery were in force. At real gateways this is the time until idle
+            connections to a leaving endpoint were closed.
+        not_in_force: Idle connections that were not closed in time after their endpoint began to leave.
+        added: Latency with and without the gateways, and the latency that they add.
+        list_read: Time to process an endpoint list.
+        requests: Counts of simulated requests, and the time for each.
+    """
 
     count: int
     processes: int
@@ -56,90 +76,98 @@
     messages_per_s: float
     ready_s: float | UnsetType = UNSET
     start_cpu_s: float | UnsetType = UNSET
-    in_force: Summary | UnsetType = UNSET
+    in_force: LatencySummary | UnsetType = UNSET
     not_in_force: int | UnsetType = UNSET
     added: dict[str, Any] | None | UnsetType = UNSET
-    list_read: Summary | UnsetType = UNSET
+    list_read: LatencySummary | UnsetType = UNSET
     requests: dict[str, float] | UnsetType = UNSET
 
 
-def slopes(points: dict[str, list[Point]]) -> dict[str, Any]:
-    """By what is counted and what is measured, a line through the sizes that were played whole."""
-    found: dict[str, Any] = {}
+def fit_slopes(points: dict[str, list[Point]]) -> dict[str, Any]:
+    """Fit a line for each kind of size and each metric, through the sizes that stayed within the bounds."""
+    fits: dict[str, Any] = {}
     for kind, all_points in points.items():
-        whole = [point for point in all_points if not point.get("over_bound") and not point.get("over_time")]
-        found[kind] = {
-            what: fit.fit_line([point["size"] for point in whole], [point[what] for point in whole])
-            for what in UNITS
-            if all_points and any(what in point for point in whole)
+        completed = [
+            point for point in all_points if not point.get("over_bound") and not point.get("over_time")
+        ]
+        fits[kind] = {
+            metric: fit.fit_line(
+                [point["size"] for point in completed], [point[metric] for point in completed]
+            )
+            for metric in METRICS
+            if all_points and any(metric in point for point in completed)
         }
-    return found
+    return fits
 
 
-def busy_share(scenarios: Scenarios, names: Iterable[str]) -> float:
-    """Processor seconds a second of some processes over all scenarios."""
-    wanted = list(names)
-    took_s = sum(s.took_s for s in scenarios.values())
-    spent_s = sum(s.after.cpu_s[n] - s.before.cpu_s[n] for s in scenarios.values() for n in wanted)
+def cpu_share(scenarios: Scenarios, names: Iterable[str]) -> float:
+    """Return the CPU seconds per second that the named processes used over all scenarios."""
+    process_names = list(names)
+    took_s = sum(scenario.took_s for scenario in scenarios.values())
+    spent_s = sum(
+        scenario.after.cpu_s[name] - scenario.before.cpu_s[name]
+        for scenario in scenarios.values()
+        for name in process_names
+    )
     return spent_s / took_s if took_s else 0.0
 
 
-def total_traffic(scenarios: Scenarios, count: Callable[[ScenarioRecord], Traffic]) -> Traffic:
-    """Of all scenarios together."""
-    counted = [count(scenario) for scenario in scenarios.values()]
-    return Traffic(sum(t.bytes for t in counted), sum(t.messages for t in counted))
+def total_traffic(scenarios: Scenarios, scenario_traffic: Callable[[ScenarioRecord], Traffic]) -> Traffic:
+    """Return the sum of the traffic in all scenarios."""
+    traffics = [scenario_traffic(scenario) for scenario in scenarios.values()]
+    return Traffic(sum(traffic.bytes for traffic in traffics), sum(traffic.messages for traffic in traffics))
 
 
 def discovery_traffic(scenarios: Scenarios, gateway_kind: str) -> Traffic:
-    """Between discovery and one kind of gateways."""
+    """Return the traffic between discovery and one kind of gateway."""
 
-    def count(scenario: ScenarioRecord) -> Traffic:
+    def scenario_traffic(scenario: ScenarioRecord) -> Traffic:
         before, after = scenario.before.registry[gateway_kind], scenario.after.registry[gateway_kind]
         return Traffic(after.bytes - before.bytes, after.messages - before.messages)
 
-    return total_traffic(scenarios, count)
+    return total_traffic(scenarios, scenario_traffic)
 
 
-def statement_traffic(scenarios: Scenarios, target: str) -> Traffic:
-    """Between the statement servers and what comes from a target."""
+def endpoint_traffic(scenarios: Scenarios, target: str) -> Traffic:
+    """Return the traffic of the endpoints with the senders of a target: gateways or direct clients."""
 
-    def count(scenario: ScenarioRecord) -> Traffic:
+    def scenario_traffic(scenario: ScenarioRecord) -> Traffic:
         before, after = scenario.before.statements[target], scenario.after.statements[target]
         return Traffic(after.bytes - before.bytes, after.requests - before.requests)
 
-    return total_traffic(scenarios, count)
+    return total_traffic(scenarios, scenario_traffic)
 
 
 def client_traffic(scenarios: Scenarios, target: str) -> Traffic:
-    """Between the clients and a target."""
+    """Return the traffic between the clients and a target."""
 
-    def count(scenario: ScenarioRecord) -> Traffic:
+    def scenario_traffic(scenario: ScenarioRecord) -> Traffic:
         if not scenario.targets:
             return Traffic(0, 0)
         result = scenario.targets[target]
         return Traffic(result.bytes, sum(result.counts.values()))
 
-    return total_traffic(scenarios, count)
+    return total_traffic(scenarios, scenario_traffic)
 
 
-def make_role(scenarios: Scenarios, children: Sequence[Child], count: int, *traffic: Traffic) -> Role:
-    """The figures that all roles have, each one's part of `count`."""
-    took_s = sum(s.took_s for s in scenarios.values()) or 1.0
+def make_role(scenarios: Scenarios, children: Sequence[Child], count: int, *traffics: Traffic) -> Role:
+    """Return a role with the figures that all roles have, divided by `count`."""
+    took_s = sum(scenario.took_s for scenario in scenarios.values()) or 1.0
     return Role(
         count=count,
         processes=len(children),
         resident_mb=sum(child.resident_bytes() for child in children) / count / 1e6,
-        cpu_s_per_s=busy_share(scenarios, (child.name for child in children)) / count,
-        busiest_cpu_s_per_s=max(busy_share(scenarios, [child.name]) for child in children),
-        bytes_per_s=sum(t.bytes for t in traffic) / took_s / count,
-        messages_per_s=sum(t.messages for t in traffic) / took_s / count,
+        cpu_s_per_s=cpu_share(scenarios, (child.name for child in children)) / count,
+        busiest_cpu_s_per_s=max(cpu_share(scenarios, [child.name]) for child in children),
+        bytes_per_s=sum(traffic.bytes for traffic in traffics) / took_s / count,
+        messages_per_s=sum(traffic.messages for traffic in traffics) / took_s / count,
     )
 
 
 def make_roles(rig: Rig, scenarios: Scenarios) -> dict[str, Role]:
-    """All roles that the run had."""
+    """Return the roles of the run by name."""
     listed = {kind: discovery_traffic(scenarios, kind) for kind in ("real", "hollow")}
-    served = {target: statement_traffic(scenarios, target) for target in TARGETS}
+    served = {target: endpoint_traffic(scenarios, target) for target in TARGETS}
     sent = {target: client_traffic(scenarios, target) for target in TARGETS}
     roles = {
         "registry": make_role(scenarios, [rig.registry], 1, *listed.values()),
@@ -147,85 +175,102 @@
         "clients": make_role(scenarios, [rig.clients], 1, *sent.values()),
     }
     if rig.real_gateways:
-        traffic = (listed["real"], served["gateway"], sent["gateway"])
-        roles["gateway"] = real_gateways(rig, scenarios, traffic)
+        traffics = (listed["real"], served["gateway"], sent["gateway"])
+        roles["gateway"] = make_real_gateways_role(rig, scenarios, traffics)
     if rig.simulated_processes:
-        roles["hollow"] = simulated_gateways(rig, scenarios, listed["hollow"])
+        roles["hollow"] = make_simulated_gateways_role(rig, scenarios, listed["hollow"])
     return roles
 
 
-def real_gateways(rig: Rig, scenarios: Scenarios, traffic: Iterable[Traffic]) -> Role:
-    """The role of the real gateways."""
+def make_real_gateways_role(rig: Rig, scenarios: Scenarios, traffics: Iterable[Traffic]) -> Role:
+    """Return the role of the real gateways."""
     children = [gateway.child for gateway in rig.real_gateways]
-    role = make_role(scenarios, children, len(rig.real_gateways), *traffic)
+    role = make_role(scenarios, children, len(rig.real_gateways), *traffics)
     role.ready_s = max(gateway.ready_s for gateway in rig.real_gateways)
     role.start_cpu_s = max(gateway.start_cpu_s for gateway in rig.real_gateways)
-    role.in_force = join(s.probes.latency for s in without_outage(scenarios)).summary()
-    role.not_in_force = sum(s.probes.unclosed for s in scenarios.values())
-    role.added = added([s.targets for s in scenarios.values()])
+    role.in_force = merge_histograms(
+        scenario.probes.latency for scenario in without_outage(scenarios)
+    ).summary()
+    role.not_in_force = sum(scenario.probes.unclosed for scenario in scenarios.values())
+    role.added = added_latency([scenario.targets for scenario in scenarios.values()])
     return role
 
 
-def simulated_gateways(rig: Rig, scenarios: Scenarios, traffic: Traffic) -> Role:
-    """The role of the simulated gateways."""
+def make_simulated_gateways_role(rig: Rig, scenarios: Scenarios, traffic: Traffic) -> Role:
+    """Return the role of the simulated gateways."""
     gateways = rig.plan.simulated
     role = make_role(scenarios, rig.simulated_processes, gateways, traffic)
     role.resident_mb -= rig.simulated_base_bytes / gateways / 1e6
-    role.in_force = join(s.in_force.latency for s in without_outage(scenarios)).summary()
-    stats = [s.after.pool_stats for s in scenarios.values()][-1]
-    role.list_read = join(Histogram(one.list_read) for one in stats).summary()
-    role.ready_s = join(Histogram(one.ready) for one in stats).percentile_ms(99) / 1e3
-    counts = {what: sum(one.counts[what] for one in stats) for what in stats[0].counts}
-    spent_ns = sum(one.spent_ns for one in stats)
+    role.in_force = merge_histograms(
+        scenario.in_force.latency for scenario in without_outage(scenarios)
+    ).summary()
+    all_pool_stats = [scenario.after.pool_stats for scenario in scenarios.values()][-1]
+    role.list_read = merge_histograms(
+        Histogram(pool_stats.list_read) for pool_stats in all_pool_stats
+    ).summary()
+    role.ready_s = (
+        merge_histograms(Histogram(pool_stats.ready) for pool_stats in all_pool_stats).percentile_ms(99) / 1e3
+    )
+    counts = {
+        counter: sum(pool_stats.counts[counter] for pool_stats in all_pool_stats)
+        for counter in all_pool_stats[0].counts
+    }
+    spent_ns = sum(pool_stats.spent_ns for pool_stats in all_pool_stats)
     role.requests = {**counts, "request_us": spent_ns / 1e3 / max(1, counts["asked"])}
     return role
 
 
 def without_outage(scenarios: Scenarios) -> list[ScenarioRecord]:
-    """Those in which discovery is up throughout, if there are any: an outage would be most of every p99."""
-    return [s for name, s in scenarios.items() if name != "outage"] or list(scenarios.values())
+    """Return the scenarios without an outage of discovery, or all if there are no others.
 
+    The duration of an outage would dominate the p99 until changes are in force.
+    """
+    return [scenario for name, scenario in scenarios.items() if name != "outage"] or list(scenarios.values())
 
-def join(hists: Iterable[Histogram]) -> Histogram:
-    """All in one."""
+
+def merge_histograms(histograms: Iterable[Histogram]) -> Histogram:
+    """Return one histogram with the durations of all."""
     total = Histogram()
-    for hist in hists:
-        total.merge(hist)
+    for histogram in histograms:
+        total.merge(histogram)
     return total
 
 
-def added(results: Sequence[dict[str, TargetResult]]) -> dict[str, Any] | None:
-    """Latency through gateways and straight, and what gateways add, in milliseconds."""
+def added_latency(results: Sequence[dict[str, TargetResult]]) -> dict[str, Any] | None:
+    """Return the latency through gateways and without them, and the difference, in milliseconds."""
     played = [targets for targets in results if targets]
-    hists = {target: join(Histogram(targets[target].latency) for targets in played) for target in TARGETS}
+    histograms = {
+        target: merge_histograms(Histogram(targets[target].latency) for targets in played)
+        for target in TARGETS
+    }
     counts: dict[str, dict[str, int]] = {target: {} for target in TARGETS}
     for targets in played:
         for target in TARGETS:
-            for what, count in targets[target].counts.items():
-                counts[target][what] = counts[target].get(what, 0) + count
-    found: dict[str, Any] = {
-        target: {**(hists[target].summary() or {}), "answers": counts[target]} for target in TARGETS
+            for outcome, count in targets[target].counts.items():
+                counts[target][outcome] = counts[target].get(outcome, 0) + count
+    latencies: dict[str, Any] = {
+        target: {**(histograms[target].summary() or {}), "answers": counts[target]} for target in TARGETS
     }
-    if not all(hists[target].count for target in TARGETS):
-        return found
+    if not all(histograms[target].count for target in TARGETS):
+        return latencies
     for percent in (50, 99):
-        found[f"p{percent}_ms"] = hists["gateway"].percentile_ms(percent) - hists["direct"].percentile_ms(
-            percent
-        )
-    return found
+        latencies[f"p{percent}_ms"] = histograms["gateway"].percentile_ms(percent) - histograms[
+            "direct"
+        ].percentile_ms(percent)
+    return latencies
 
 
 def check_schedule(problems: Problems, late_ms: float) -> dict[str, Any]:
-    """Whether the run kept its schedule; what was too late is added to the problems."""
-    late = {who: hist.summary() for who, hist in problems.late.items()}
-    for who, summary in late.items():
+    """Return whether the run kept its schedule; processes that were too late are added to the problems."""
+    late = {process: histogram.summary() for process, histogram in problems.late.items()}
+    for process, summary in late.items():
         if summary is not None and summary["p99_ms"] > late_ms:
-            problems.schedule.append(f"{who} were late by {summary['p99_ms']:.1f} ms at p99")
+            problems.schedule.append(f"{process} were behind schedule by {summary['p99_ms']:.1f} ms at p99")
     return {"kept": not problems.schedule, "why": problems.schedule, "late": late, "bound_ms": late_ms}
 
 
-def machine() -> dict[str, Any]:
-    """Where the run was made."""
+def machine_info() -> dict[str, Any]:
+    """Describe the machine of the run."""
     return {
         "cores": psutil.cpu_count(),
         "memory_mb": int(psutil.virtual_memory().total / 1e6),
@@ -234,7 +279,7 @@
 
 
 def scenario_figures(scenario: ScenarioRecord) -> dict[str, Any]:
-    """The figures of one scenario."""
+    """Return the figures of one scenario."""
     return {
         "changes": scenario.changes,
         "machine_cpu_share": scenario.machine_cpu_share,
@@ -243,31 +288,33 @@
         "gateway_in_force": scenario.probes.latency.summary(),
         "gateway_not_in_force": scenario.probes.unclosed,
         "probes": scenario.probes.count,
-        "added": added([scenario.targets]),
+        "added": added_latency([scenario.targets]),
     }
 
 
-def result(rig: Rig, points: dict[str, list[Point]], scenarios: Scenarios, took_s: float) -> dict[str, Any]:
-    """All of a run; its figures are void where the schedule was not kept."""
+def build_result(
+    rig: Rig, points: dict[str, list[Point]], scenarios: Scenarios, took_s: float
+) -> dict[str, Any]:
+    """Return the result of a run; its figures are stored as "void" if the schedule was not kept."""
     schedule = check_schedule(rig.problems, rig.plan.late_ms)
     last = list(scenarios.values())[-1:]
-    bad = sum(counters.bad for s in last for counters in s.after.statements.values())
+    bad = sum(counters.bad for scenario in last for counters in scenario.after.statements.values())
     if bad:
-        rig.problems.broken.append(f"{bad} requests at the stand-ins were none of PROTOCOL's")
+        rig.problems.broken.append(f"{bad} requests at the stand-ins did not follow the protocol")
     roles = make_roles(rig, scenarios) if scenarios else {}
-    found = {
+    figures = {
         "roles": msgspec.to_builtins(roles),
         "scenarios": {name: scenario_figures(scenario) for name, scenario in scenarios.items()},
         "points": points,
-        "slopes": slopes(points),
+        "slopes": fit_slopes(points),
     }
     return {
         "plan": msgspec.to_builtins(rig.plan),
-        "machine": machine(),
+        "machine": machine_info(),
         "took_s": took_s,
         "schedule": schedule,
         "over_bound": rig.problems.over_bound,
         "broken": rig.problems.broken,
         "memory_most_mb": rig.children.peak_bytes / 1e6,
-        "figures" if schedule["kept"] else "void": found,
+        "figures" if schedule["kept"] else "void": figures,
     }
--- a/lab/model/attempts.py
+++ b/lab/model/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts on their way: over connections to an endpoint and back, with what the network does to them."""
+"""Attempts: connections to endpoints, transmission, answers, and network faults on the way."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 from load_balancer.decisions.actions import Cancel, Send
 from load_balancer.decisions.events import AttemptEnded, Outcome
 
-REUSABLE = frozenset({Outcome.OK, Outcome.ERROR, Outcome.REJECTED})  # the connection can be used again
-ATTEMPTS_PER_TRY = 4  # that draw losses of their own
-HANDSHAKE_WAYS = 3  # one-way delays until a request over a new connection has arrived
+REUSABLE = frozenset({Outcome.OK, Outcome.ERROR, Outcome.REJECTED})  # outcomes that keep the connection
+ATTEMPTS_PER_TRY = 4  # attempts of one client try that have separate loss draws
+HANDSHAKE_ONE_WAY_DELAYS = 3  # SYN, SYN-ACK, then the request itself
 
 
 class EndAttempt(Protocol):
-    """Ends an attempt with an outcome."""
+    """Callback that ends an attempt."""
 
     def __call__(self, outcome: Outcome, load: LoadReport = ()) -> None:
-        """End it now."""
+        """End the attempt with an outcome and the load report of its answer."""
 
 
 class Attempts:
-    """Carries out what gateways send, and checks it against the rules."""
+    """Simulates the attempts that gateways send, and checks them against the rules."""
 
     def __init__(
         self,
@@ -61,41 +61,44 @@
         self._record = record
 
     def send(self, gateway: ModelGateway, action: Send) -> None:
-        """Begin an attempt."""
+        """Start an attempt.
+
+        An attempt past the deadline or the attempt limit ends at once with `NOT_SENT`.
+        """
         request, now_us = gateway.requests.get(action.request_id), self._clock.now_us
         if request is None or action.endpoint_id not in gateway.known_ids:
-            what = f"{action.request_id} or {action.endpoint_id} is not known there"
-            self._rules.report(Rule.FAULT, gateway.index, what)
+            description = f"{action.request_id} or endpoint {action.endpoint_id} is unknown to the gateway"
+            self._rules.report(Rule.INVALID_ACTION, gateway.index, description)
             return
         endpoint = self._fleet.by_id(action.endpoint_id)
         self._checks.check(gateway, request, endpoint)
-        number = len(request.attempts)
+        attempt_number = len(request.attempts)
         attempt = Attempt(endpoint.index, now_us)
         request.attempts.append(attempt)
-        end = partial(self._end, gateway, gateway.epoch, request, number)
-        left_us = request.deadline_us - now_us
-        if request.finished or left_us <= 0 or number >= gateway.settings.max_attempts:
+        end = partial(self._end, gateway, gateway.epoch, request, attempt_number)
+        remaining_us = request.deadline_us - now_us
+        if request.finished or remaining_us <= 0 or attempt_number >= gateway.settings.max_attempts:
             self._clock.call_at(now_us, end, Outcome.NOT_SENT)
             return
         self._record.costs["attempts"] += 1
-        self._record.costs["repeats"] += number > 0
+        self._record.costs["repeats"] += attempt_number > 0
         self._record.costs["crossings"] += endpoint.zone != gateway.zone
-        timeout_us = min(left_us, action.timeout_us or left_us)
+        timeout_us = min(remaining_us, action.timeout_us or remaining_us)
         self._clock.call_at(now_us + max(0, timeout_us), end, Outcome.TIMEOUT)
         self._transmit(gateway, request, attempt, end)
 
     def cancel(self, gateway: ModelGateway, action: Cancel) -> None:
-        """Cancel an attempt; its outcome is an event of its own."""
+        """Cancel an attempt; its end is delivered to the gateway as an event."""
         request = gateway.requests.get(action.request_id)
         if request is None or not 0 <= action.attempt < len(request.attempts):
-            what = f"{action.request_id} cancelled, but never sent"
-            self._rules.report(Rule.FAULT, gateway.index, what)
+            description = f"{action.request_id} had an attempt cancelled that was never sent"
+            self._rules.report(Rule.INVALID_ACTION, gateway.index, description)
             return
         end = partial(self._end, gateway, gateway.epoch, request, action.attempt)
         self._clock.call_at(self._clock.now_us, end, Outcome.CANCELLED)
 
-    def reset_all(self, gateway: ModelGateway, request: GatewayRequest) -> None:
-        """End the attempts of a request whose gateway has died."""
+    def reset_attempts(self, gateway: ModelGateway, request: GatewayRequest) -> None:
+        """End the attempts of a request whose gateway process has ended."""
         for attempt in request.attempts:
             if attempt.outcome is None:
                 self._release(gateway, attempt, Outcome.RESET)
@@ -103,9 +106,9 @@
     def _transmit(
         self, gateway: ModelGateway, request: GatewayRequest, attempt: Attempt, end: EndAttempt
     ) -> None:
-        """Over an idle connection, or a new one."""
+        """Send an attempt over an idle connection, or over a new one if there is none."""
         endpoint, now_us = self._fleet.endpoints[attempt.endpoint_index], self._clock.now_us
-        idle = gateway.idle.take(endpoint.index)
+        idle = gateway.idle_connections.pop_latest(endpoint.index)
         if idle is None:
             connected = self._connect(gateway, endpoint, attempt, end)
         else:
@@ -122,21 +125,26 @@
             self._terms.handshake_ms * 1e3 if idle is None else 0.0,
             self._workload.blocked_us[row],
             self._workload.fails[row],
-            self._checks.knows_start(gateway, endpoint),
+            self._checks.knows_last_start(gateway, endpoint),
             gateway.index,
             partial(self._return_answer, gateway, endpoint, request, attempt, end),
             partial(self._return_reset, gateway, endpoint, end),
         )
-        ways = HANDSHAKE_WAYS if idle is None else 1
-        self._clock.call_at(now_us + ways * delay_us, self._arrive, gateway, endpoint, attempt, end)
+        one_way_delays = HANDSHAKE_ONE_WAY_DELAYS if idle is None else 1
+        self._clock.call_at(now_us + one_way_delays * delay_us, self._arrive, gateway, endpoint, attempt, end)
 
     def _reuse(
         self, gateway: ModelGateway, endpoint: ModelEndpoint, attempt: Attempt, epoch: int, end: EndAttempt
     ) -> bool:
-        """Take an idle connection; False where its process has gone in silence and another resets it."""
+        """Use an idle connection.
+
+        Returns:
+            False where the endpoint's process was replaced without closing the connection, so that the new
+            process resets it.
+        """
         attempt.connection_epoch = epoch
-        reached = self._network.reaches_endpoint(gateway.zone, endpoint)
-        if epoch == endpoint.epoch or not endpoint.up or not reached:
+        reachable = self._network.reaches_endpoint(gateway.zone, endpoint)
+        if epoch == endpoint.epoch or not endpoint.up or not reachable:
             return True
         attempt.connection_epoch = None
         delay_us = self._network.delay_us(gateway.zone, endpoint)
@@ -146,7 +154,7 @@
     def _connect(
         self, gateway: ModelGateway, endpoint: ModelEndpoint, attempt: Attempt, end: EndAttempt
     ) -> bool:
-        """Open a connection; False where that fails."""
+        """Open a connection; return whether that succeeds."""
         self._record.costs["handshakes"] += 1
         if not self._network.reaches_endpoint(gateway.zone, endpoint):
             failed_after_us = self._connect_timeout_us
@@ -160,16 +168,16 @@
         return False
 
     def _is_lost(self, request: GatewayRequest, attempt: Attempt, leg: int) -> bool:
-        """Whether a request (leg 0) or its answer (leg 1) is lost."""
-        drawn = request.try_number * ATTEMPTS_PER_TRY + request.attempts.index(attempt)
-        column = drawn % LOSS_DRAWS_PER_REQUEST * 2 + leg
+        """Return whether the request (leg 0) or its answer (leg 1) is lost."""
+        attempt_index = request.try_number * ATTEMPTS_PER_TRY + request.attempts.index(attempt)
+        column = attempt_index % LOSS_DRAWS_PER_REQUEST * 2 + leg
         return bool(self._workload.loss_draws[request.workload_row, column] < self._network.loss)
 
     def _arrive(
         self, gateway: ModelGateway, endpoint: ModelEndpoint, attempt: Attempt, end: EndAttempt
     ) -> None:
-        reached = self._network.reaches_endpoint(gateway.zone, endpoint)
-        if attempt.outcome is not None or not reached or attempt.job is None:
+        reachable = self._network.reaches_endpoint(gateway.zone, endpoint)
+        if attempt.outcome is not None or not reachable or attempt.job is None:
             return
         if attempt.connection_epoch != endpoint.epoch:
             self._return_reset(gateway, endpoint, end)
@@ -177,7 +185,7 @@
         endpoint.accept(attempt.job)
 
     def _return_reset(self, gateway: ModelGateway, endpoint: ModelEndpoint, end: EndAttempt) -> None:
-        """The process at the other end has gone."""
+        """Reset the connection because the endpoint process that held it has ended."""
         if self._network.reaches_endpoint(gateway.zone, endpoint):
             delay_us = self._network.delay_us(gateway.zone, endpoint)
             self._clock.call_at(self._clock.now_us + delay_us, end, Outcome.RESET)
@@ -204,34 +212,39 @@
         gateway: ModelGateway,
         epoch: int,
         request: GatewayRequest,
-        number: int,
+        attempt_number: int,
         outcome: Outcome,
         load: LoadReport = (),
     ) -> None:
-        """End an attempt; its first outcome counts."""
-        attempt = request.attempts[number]
+        """End an attempt and notify the gateway; only the first outcome counts."""
+        attempt = request.attempts[attempt_number]
         if attempt.outcome is not None or gateway.epoch != epoch:
             return
         self._release(gateway, attempt, outcome)
         if outcome is Outcome.OK and not request.finished:
-            self._record.useful_us += attempt.job.work_us if attempt.job is not None else 0.0
+            self._record.useful_work_us += attempt.job.work_us if attempt.job is not None else 0.0
             self._clients.finish(request, RequestEnd.SERVED)
-        took_us = self._clock.now_us - attempt.sent_us
+        duration_us = self._clock.now_us - attempt.sent_us
         endpoint_id = self._fleet.ids[attempt.endpoint_index]
         gateway.deliver(
-            AttemptEnded(request.id, number, endpoint_id, outcome, took_us, request.finished, load)
+            AttemptEnded(
+                request.id, attempt_number, endpoint_id, outcome, duration_us, request.finished, load
+            )
         )
 
     def _release(self, gateway: ModelGateway, attempt: Attempt, outcome: Outcome) -> None:
-        """The connection is idle, or closed; an endpoint that still works on it drops that one way later."""
+        """Keep or close the attempt's connection.
+
+        If it is closed, the endpoint drops the attempt's job one network delay later.
+        """
         endpoint = self._fleet.endpoints[attempt.endpoint_index]
         attempt.outcome = outcome
         if attempt.connection_epoch is not None and attempt.connection_epoch == endpoint.epoch:
             if outcome in REUSABLE:
-                gateway.idle.add(endpoint, self._clock.now_us)
+                gateway.idle_connections.add(endpoint, self._clock.now_us)
             else:
                 endpoint.connections -= 1
-        reached = self._network.reaches_endpoint(gateway.zone, endpoint)
-        if outcome not in REUSABLE and attempt.job is not None and reached:
+        reachable = self._network.reaches_endpoint(gateway.zone, endpoint)
+        if outcome not in REUSABLE and attempt.job is not None and reachable:
             delay_us = self._network.delay_us(gateway.zone, endpoint)
             self._clock.call_at(self._clock.now_us + delay_us, endpoint.cancel, attempt.job)
--- a/lab/model/experiment.py
+++ b/lab/model/experiment.py
@@ -1,4 +1,4 @@
-"""Runs over seeds and policies in worker processes, kept in a result file."""
+"""Runs of a scenario over seeds and policies in worker processes, stored in a result file."""
 
 from __future__ import annotations
 
@@ -17,20 +17,27 @@
 from lab.model import policies, score
 from lab.model.errors import UsageError
 from lab.model.knobs import Knob, apply_knobs
-from lab.model.results import FILE, Result, read, write
+from lab.model.results import RESULTS_FILE, Result, read_results_file, write_results_file
 from lab.model.scenario import Scenario
 from lab.model.simulation import Simulation
 
 
 def initialize_worker(knobs: Iterable[Knob]) -> None:
-    """Prepare a worker process: ignore interrupts, as the parent lets the runs under way finish."""
+    """Set the knobs of a worker process and ignore interrupts: the parent lets current runs finish."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     apply_knobs(knobs)
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
-    """What is to be run."""
+class ExperimentPlan:
+    """A scenario with the policies, seeds and knobs to run it with.
+
+    Attributes:
+        scenario: The scenario.
+        policies: Names of the policies.
+        seeds: Number of seeds, counted from 1.
+        knobs: Constants that are overridden in all runs.
+    """
 
     scenario: Scenario
     policies: tuple[str, ...]
@@ -39,21 +46,21 @@
 
     @property
     def header(self) -> Result:
-        """What a file's results have in common: the first of its lines."""
+        """The result file's first line: what all its results have in common."""
         return {
             "scenario": self.scenario.name,
             "digest": hashlib.sha256(msgspec.json.encode(self.scenario)).hexdigest()[:16],
             "knobs": sorted(knob.text for knob in self.knobs),
-            "program": program(),
+            "program": program_digest(),
         }
 
     def tasks(self) -> Iterator[tuple[str, int]]:
-        """Policy and seed of each run."""
+        """Return the policy and the seed of each run."""
         return ((policy, seed) for seed in range(1, self.seeds + 1) for policy in self.policies)
 
 
-def program() -> str:
-    """A digest of the decisions' and the model's own text: results of two of them don't belong together."""
+def program_digest() -> str:
+    """Return a digest of the source code that runs depend on; results of different digests are not mixed."""
     digest = hashlib.sha256()
     for folder in (Path(load_balancer.__file__).parent, Path(__file__).parent):
         for path in sorted(folder.rglob("*.py")):
@@ -61,62 +68,77 @@
     return digest.hexdigest()[:16]
 
 
-def play(scenario: Scenario, policy: str, seed: int) -> Result:
-    """One day; a policy that raises is named in place of its figures."""
+def simulate(scenario: Scenario, policy: str, seed: int) -> Result:
+    """Run a scenario once; an exception of the policy is recorded in place of the figures."""
     try:
-        world = Simulation(scenario, policies.POLICIES[policy], seed)
-        world.run()
-        found = score.result(world)
+        simulation = Simulation(scenario, policies.POLICIES[policy], seed)
+        simulation.run()
+        figures = score.compute_result(simulation)
     except Exception as error:
-        found = {"crash": f"{type(error).__name__}: {error}"}
-    return {"policy": policy, "seed": seed, **found}
+        figures = {"crash": f"{type(error).__name__}: {error}"}
+    return {"policy": policy, "seed": seed, **figures}
 
 
-def read_finished(plan: Plan, folder: Path) -> list[Result]:
-    """The results that a folder holds.
+def read_finished(plan: ExperimentPlan, folder: Path) -> list[Result]:
+    """Return the results that a folder already holds.
 
     Raises:
-        UsageError: They are of another scenario, other knobs or another program.
+        UsageError: They belong to another scenario, other knobs or another program.
     """
-    header, found = read(folder / FILE)
-    other = [key for key, value in plan.header.items() if header is not None and header.get(key) != value]
-    if other:
-        what = " and ".join(other)
-        raise UsageError(f"{folder / FILE} holds runs of another {what}: expected an --out of its own")
-    return found
-
-
-def run(plan: Plan, folder: Path, jobs: int, done: Callable[[Result | None], None]) -> list[Result]:
-    """Play what the folder does not hold yet; `done` is called with each result, None for one that was there.
-
-    The file is the same for equal seeds whatever `jobs` is, and whatever was there when the run was cut off.
+    header, finished = read_results_file(folder / RESULTS_FILE)
+    mismatched_keys = [
+        key for key, value in plan.header.items() if header is not None and header.get(key) != value
+    ]
+    if mismatched_keys:
+        differences = " and ".join(mismatched_keys)
+        raise UsageError(
+            f"{folder / RESULTS_FILE} holds runs of another {differences}: expected an --out of its own"
+        )
+    return finished
+
+
+def run_plan(
+    plan: ExperimentPlan, folder: Path, jobs: int, on_result: Callable[[Result | None], None]
+) -> list[Result]:
+    """Run what the folder does not hold yet, and store the results in it.
+
+    For equal seeds, the file does not depend on `jobs` or on results left by an interrupted run.
+
+    Args:
+        plan: What to run.
+        folder: The folder of the result file.
+        jobs: Number of worker processes.
+        on_result: Called with each new result, and with None for each result that was already there.
+
+    Returns:
+        The results of the plan, old and new.
     """
-    path, found = folder / FILE, read_finished(plan, folder)
-    known = {(result["policy"], result["seed"]) for result in found}
-    write(path, plan.header, found)
-    tasks = [task for task in plan.tasks() if task not in known]
+    path, finished = folder / RESULTS_FILE, read_finished(plan, folder)
+    finished_runs = {(result["policy"], result["seed"]) for result in finished}
+    write_results_file(path, plan.header, finished)
+    tasks = [task for task in plan.tasks() if task not in finished_runs]
     for _ in range(len(list(plan.tasks())) - len(tasks)):
-        done(None)
+        on_result(None)
     if tasks:
         with path.open("a", encoding="utf-8") as file:
-            for result in play_all(plan, tasks, jobs):
+            for result in simulate_all(plan, tasks, jobs):
                 file.write(json.dumps(result) + "\n")
                 file.flush()
-                found.append(result)
-                done(result)
-        write(path, plan.header, found)
-    wanted = set(plan.tasks())
-    return [result for result in found if (result["policy"], result["seed"]) in wanted]
+                finished.append(result)
+                on_result(result)
+        write_results_file(path, plan.header, finished)
+    planned_runs = set(plan.tasks())
+    return [result for result in finished if (result["policy"], result["seed"]) in planned_runs]
 
 
-def play_all(plan: Plan, tasks: list[tuple[str, int]], jobs: int) -> Iterator[Result]:
-    """Yield the results as they come, from worker processes that apply the plan's knobs first."""
+def simulate_all(plan: ExperimentPlan, tasks: list[tuple[str, int]], jobs: int) -> Iterator[Result]:
+    """Run tasks in worker processes that have the plan's knobs set, and yield results as they complete."""
     context = multiprocessing.get_context("spawn")
     pool = ProcessPoolExecutor(
         min(jobs, len(tasks)), context, initializer=initialize_worker, initargs=(plan.knobs,)
     )
     try:
-        futures: list[Future[Result]] = [pool.submit(play, plan.scenario, *task) for task in tasks]
+        futures: list[Future[Result]] = [pool.submit(simulate, plan.scenario, *task) for task in tasks]
         for future in as_completed(futures):
             yield future.result()
     finally:
--- a/lab/simulated_gateways.py
+++ b/lab/simulated_gateways.py
@@ -1,7 +1,7 @@
-"""Simulated gateways: the real Discovery and Balancer, many in a process, with seeded requests and outcomes.
+"""Simulated gateways: many Balancers with discovery clients in a process, with seeded requests and outcomes.
 
-Instead of client sockets and connections to servers there are a schedule and a clock. What the balancer asks
-of discovery and of timers is carried out as the real gateway does it.
+A schedule replaces the clients, and timers replace the connections to endpoints. Discovery and the timers of
+the Balancer work as in the real gateway.
 """
 
 from __future__ import annotations
@@ -50,16 +50,28 @@
 from load_balancer.gateway.discovery_messages import WatchEvent
 
 TIMEOUT_US = 2_000_000
-ANSWER_S = 0.005
-ERROR_SHARE = 0.03
-PLANNED_S = 1.0  # of requests planned at a time
-DRAWS = 4096
+ANSWER_S = 0.005  # mean latency of an attempt
+ERROR_SHARE = 0.03  # share of the attempts that end as an error
+PLAN_INTERVAL_S = 1.0  # requests are planned for this time at once
+PLANNED_ANSWERS = 4096  # drawn in advance and repeated
 
-KnownChange = tuple[int, str, int]  # endpoint's id, status, start in us
+ChangeKey = tuple[int, str, int]  # endpoint id, status, start in microseconds
 
 
 class SimulatedGateway:
-    """One gateway: its Balancer and its client of discovery."""
+    """One gateway: its Balancer and its discovery client.
+
+    Attributes:
+        pool: The pool that the gateway belongs to.
+        balancer: The Balancer.
+        discovery: The discovery client.
+        events: Events that wait until the Balancer has handled an earlier one.
+        delivering: Whether the Balancer is handling events.
+        attempts: By request, a timer for each attempt, or None once it has ended.
+        endpoint_ids: The endpoint of each attempt in flight, by request and attempt.
+        began_ns: When the gateway was started.
+        list_count: Messages handled from discovery, except empty ones after the first.
+    """
 
     def __init__(self, pool: GatewayPool, config: Config, seed: int) -> None:
         self.pool = pool
@@ -68,56 +80,56 @@
             pool.loop, config.discovery, config.names, config.settings.endpoints_are_pushed, self.receive
         )
         self.events: deque[Event] = deque()
-        self.busy = False
+        self.delivering = False
         self.attempts: dict[str, list[asyncio.TimerHandle | None]] = {}
-        self.servers: dict[tuple[str, int], int] = {}
+        self.endpoint_ids: dict[tuple[str, int], int] = {}
         self.began_ns = time.monotonic_ns()
-        self.lists = 0
+        self.list_count = 0
 
     def receive(self, message: WatchEvent) -> None:
-        """Deliver what discovery sends, and note when it is in force."""
+        """Pass a message from discovery to the Balancer, and record when its changes are in force."""
         event = message.to_balancer_event()
         began = time.perf_counter_ns()
         self.deliver(event)
         done_ns = time.monotonic_ns()
         if not event.endpoints:
-            if self.lists:
+            if self.list_count:
                 return
         else:
-            self.pool.list_time.record((time.perf_counter_ns() - began) / 1e3)
-        self.lists += 1
-        if self.lists == 1:  # the list as last held, which the real gateway calls ready
+            self.pool.list_latency.record((time.perf_counter_ns() - began) / 1e3)
+        self.list_count += 1
+        if self.list_count == 1:  # the cached list, with which the real gateway is ready
             self.pool.ready.record((done_ns - self.began_ns) / 1e3)
             return
-        for server in event.endpoints if event.kind is ListKind.DELTA else ():
-            key = (server.id, server.status.value, server.started_us)
+        for endpoint in event.endpoints if event.kind is ListKind.DELTA else ():
+            key = (endpoint.id, endpoint.status.value, endpoint.started_us)
             self.pool.received.setdefault(key, []).append(done_ns)
 
     def deliver(self, event: Event) -> None:
-        """Give an event to the Balancer and execute what it decides."""
+        """Pass an event to the Balancer and execute the actions that it returns."""
         self.events.append(event)
-        if self.busy:
+        if self.delivering:
             return
-        self.busy = True
+        self.delivering = True
         try:
             while self.events:
                 for action in self.balancer.handle(self.pool.clock.now_us(), self.events.popleft()):
                     self.execute(action)
         finally:
-            self.busy = False
+            self.delivering = False
 
     def execute(self, action: Action) -> None:
-        """Execute an action as the real gateway does, but for connections and clients."""
+        """Execute an action as the real gateway does, except for connections and clients."""
         loop, counts = self.pool.loop, self.pool.counts
         match action:
             case Send():
                 counts["sent"] += 1
                 attempts = self.attempts.setdefault(action.request_id, [])
-                answer_s, outcome = self.pool.draw()
+                answer_s, outcome = self.pool.next_answer()
                 timer = loop.call_later(
                     answer_s, self.end_attempt, action.request_id, len(attempts), outcome, int(answer_s * 1e6)
                 )
-                self.servers[action.request_id, len(attempts)] = action.endpoint_id
+                self.endpoint_ids[action.request_id, len(attempts)] = action.endpoint_id
                 attempts.append(timer)
             case Cancel():
                 timer_or_none = self.attempts.get(action.request_id, [])[action.attempt]
@@ -126,7 +138,7 @@
                     loop.call_soon(self.end_attempt, action.request_id, action.attempt, Outcome.CANCELLED, 0)
             case Reject() | Fail():
                 counts["refused" if isinstance(action, Reject) else "failed"] += 1
-                self.forget_if_ended(action.request_id)
+                self.drop_if_ended(action.request_id)
             case SetTimer():
                 delay_us = action.due_us - self.pool.clock.now_us()
                 loop.call_later(max(0, delay_us) / 1e6, self.deliver, TimerFired(action.token))
@@ -136,56 +148,71 @@
                 self.discovery.poll()
 
     def end_attempt(self, request: str, attempt: int, outcome: Outcome, latency_us: int) -> None:
-        """End an attempt as its draw says."""
+        """Report the end of an attempt to the Balancer."""
         self.attempts[request][attempt] = None
-        server = self.servers.pop((request, attempt))
+        endpoint_id = self.endpoint_ids.pop((request, attempt))
         finished = outcome is Outcome.OK
         self.pool.counts["served"] += finished
         began = time.perf_counter_ns()
-        self.deliver(AttemptEnded(request, attempt, server, outcome, latency_us, finished))
+        self.deliver(AttemptEnded(request, attempt, endpoint_id, outcome, latency_us, finished))
         self.pool.spent_ns += time.perf_counter_ns() - began
-        self.forget_if_ended(request)
+        self.drop_if_ended(request)
 
-    def forget_if_ended(self, request: str) -> None:
-        """Drop a request that has no attempt in flight."""
+    def drop_if_ended(self, request: str) -> None:
+        """Forget a request that has no attempt in flight."""
         if not any(self.attempts.get(request, ())):
             self.attempts.pop(request, None)
 
 
 class GatewayPool:
-    """The gateways of one process, the requests to them and what they have received."""
+    """The gateways of one process, the requests to them and their counters.
+
+    Attributes:
+        loop: The event loop of the process.
+        clock: The clock of the gateways.
+        gateways: All gateways of the process.
+        config: The configuration that the gateways share, once it has been read.
+        received: When each change was handled, in nanoseconds, one time for each gateway.
+        ready: Time from a gateway's start until it was ready.
+        list_latency: Time to handle an endpoint list.
+        late: How far requests were behind their schedule.
+        counts: Requests and attempts by what became of them.
+        spent_ns: Wall time spent on requests and the ends of attempts.
+        answers: Latencies in seconds and outcomes of attempts.
+        requests: The task that sends requests.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
         self.clock = Clock()
         self.gateways: list[SimulatedGateway] = []
         self.config: Config | None = None
-        self.received: dict[KnownChange, list[int]] = {}
+        self.received: dict[ChangeKey, list[int]] = {}
         self.ready = Histogram()
-        self.list_time = Histogram()
+        self.list_latency = Histogram()
         self.late = Histogram()
         self.counts = dict.fromkeys(("asked", "sent", "served", "refused", "failed"), 0)
         self.spent_ns = 0
-        self.draws: list[tuple[float, Outcome]] = []
+        self.answers: list[tuple[float, Outcome]] = []
         self.requests: asyncio.Task[None] | None = None
 
-    def draw(self) -> tuple[float, Outcome]:
-        """Seconds until the next attempt ends, and how."""
-        return self.draws[self.counts["sent"] % len(self.draws)]
+    def next_answer(self) -> tuple[float, Outcome]:
+        """Return the latency in seconds and the outcome of the next attempt."""
+        return self.answers[self.counts["sent"] % len(self.answers)]
 
-    def read(self, path: str, address: str, seed: int) -> None:
-        """The settings are held once for all gateways of the process."""
+    def read_config(self, path: str, address: str, seed: int) -> None:
+        """Read the configuration that all gateways of the process share, and draw the answers."""
         raw = json.loads(Path(path).read_text(encoding="utf-8"))
         self.config = parse_config(raw | {"discovery": address})
         rng = schedule.stream(seed, "outcomes")
-        times = (ANSWER_S * (0.5 + rng.gamma(4.0, 0.125, DRAWS))).tolist()
-        failing = (rng.random(DRAWS) < ERROR_SHARE).tolist()
-        self.draws = [
+        latencies_s = (ANSWER_S * (0.5 + rng.gamma(4.0, 0.125, PLANNED_ANSWERS))).tolist()
+        failing = (rng.random(PLANNED_ANSWERS) < ERROR_SHARE).tolist()
+        self.answers = [
             (answer_s, Outcome.ERROR if fails else Outcome.OK)
-            for answer_s, fails in zip(times, failing, strict=True)
+            for answer_s, fails in zip(latencies_s, failing, strict=True)
         ]
 
-    async def add(self, count: int, first: int, seed: int) -> None:
+    async def add_gateways(self, count: int, first: int, seed: int) -> None:
         """Start more gateways, numbered from `first`."""
         assert self.config is not None
         for number in range(first, first + count):
@@ -193,30 +220,36 @@
             gateway = SimulatedGateway(self, replace(self.config, settings=settings), seed + number)
             self.gateways.append(gateway)
             gateway.discovery.start(self.config.cached_endpoint_list)
-            await asyncio.sleep(0)  # what the earlier ones receive is read in between
+            await asyncio.sleep(0)  # lets the gateways already started read their messages
 
     async def send_requests(self, rate: float, routes: int, tenants: int, seed: int) -> None:
-        """Send requests at `rate` a second to each gateway, until cancelled."""
+        """Send `rate` requests per second to each gateway until cancelled."""
         start = time.monotonic()
-        part = 0
+        interval = 0
         while True:
-            planned = schedule.requests(
+            planned_requests = schedule.requests(
                 seed,
-                f"hollow {part}",
+                f"hollow {interval}",
                 rate * len(self.gateways),
-                PLANNED_S,
+                PLAN_INTERVAL_S,
                 routes,
                 tenants,
                 len(self.gateways),
             )
-            arrivals = zip(planned.times_s, planned.routes, planned.tenants, planned.targets, strict=True)
-            for at_s, route, tenant, target in arrivals:
-                wait_s = start + part * PLANNED_S + at_s - time.monotonic()
+            arrivals = zip(
+                planned_requests.times_s,
+                planned_requests.routes,
+                planned_requests.tenants,
+                planned_requests.targets,
+                strict=True,
+            )
+            for arrival_s, route, tenant, target in arrivals:
+                wait_s = start + interval * PLAN_INTERVAL_S + arrival_s - time.monotonic()
                 if wait_s > 0:
                     await asyncio.sleep(wait_s)
-                self.late.record((time.monotonic() - start - part * PLANNED_S - at_s) * 1e6)
+                self.late.record((time.monotonic() - start - interval * PLAN_INTERVAL_S - arrival_s) * 1e6)
                 self.counts["asked"] += 1
-                began = time.perf_counter_ns()
+                started = time.perf_counter_ns()
                 self.gateways[target].deliver(
                     RequestArrived(
                         str(self.counts["asked"]),
@@ -226,25 +259,25 @@
                         tenant=tenant,
                     )
                 )
-                self.spent_ns += time.perf_counter_ns() - began
-            part += 1
-            await asyncio.sleep(max(0.0, start + part * PLANNED_S - time.monotonic()))
+                self.spent_ns += time.perf_counter_ns() - started
+            interval += 1
+            await asyncio.sleep(max(0.0, start + interval * PLAN_INTERVAL_S - time.monotonic()))
 
     def measure_in_force(self, changes: list[WrittenChange]) -> InForce:
-        """From each change at discovery to its being in force, over all gateways here."""
-        hist = Histogram()
+        """Return the times from when discovery wrote changes until they were in force at these gateways."""
+        histogram = Histogram()
         unseen = 0
         for change in changes:
             key = (change.endpoint_id, change.status, change.started_us)
             received = self.received.get(key, ())
             for done_ns in received:
-                hist.record((done_ns - change.written_ns) / 1e3)
+                histogram.record((done_ns - change.written_ns) / 1e3)
             unseen += max(0, len(self.gateways) - len(received))
         self.received.clear()
-        return InForce(hist.encode(), unseen)
+        return InForce(histogram.encode(), unseen)
 
     async def stop_requests(self) -> None:
-        """Send no more requests; raises what has ended them before."""
+        """Stop sending requests; an exception that ended the sending is raised here."""
         if self.requests is not None:
             self.requests.cancel()
             await asyncio.wait([self.requests])
@@ -253,17 +286,17 @@
             self.requests = None
 
     async def handle(self, command: PoolCommand) -> Any:
-        """Carry out a command; returns its answer."""
+        """Execute a command and return its answer."""
         match command:
             case ReadConfig():
-                self.read(command.path, command.address, command.seed)
+                self.read_config(command.path, command.address, command.seed)
                 return psutil.Process().memory_info().rss
             case AddGateways():
                 await self.stop_requests()
-                await self.add(command.count, command.first, command.seed)
+                await self.add_gateways(command.count, command.first, command.seed)
             case StartRequests():
                 await self.stop_requests()
-                # A full collection would walk all the gateways here for the garbage of one.
+                # A full garbage collection would traverse the objects of all gateways in this process.
                 gc.freeze()
                 self.requests = self.loop.create_task(
                     self.send_requests(command.rate, command.routes, command.tenants, command.seed)
@@ -277,13 +310,13 @@
         return None
 
     def read_stats(self) -> PoolStats:
-        """The counters; raises what has ended the requests."""
+        """Return the counters; an exception that ended the sending of requests is raised here."""
         if self.requests is not None and self.requests.done():
             self.requests.result()
         return PoolStats(
             gateways=len(self.gateways),
             ready=self.ready.encode(),
-            list_read=self.list_time.encode(),
+            list_read=self.list_latency.encode(),
             late=self.late.encode(),
             counts=self.counts,
             spent_ns=self.spent_ns,
@@ -291,7 +324,7 @@
 
 
 def create_handler() -> Handler[PoolCommand]:
-    """The handler of commands, on the running event loop."""
+    """Return the handler of commands, which uses the running event loop."""
     return GatewayPool(asyncio.get_running_loop()).handle
 
 
--- a/tests/lab/conftest.py
+++ b/tests/lab/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that tests of the lab share."""
+"""Fixtures shared by the tests of the lab."""
 
 from __future__ import annotations
 
@@ -12,13 +12,15 @@
 
 @pytest.fixture
 def played_runs(monkeypatch: pytest.MonkeyPatch) -> list[tuple[str, int]]:
-    """Runs are played in this process; policy and seed of each."""
+    """Play runs in this process, and record the policy and seed of each."""
     runs: list[tuple[str, int]] = []
 
-    def in_turn(plan: experiment.Plan, tasks: list[tuple[str, int]], _jobs: int) -> Iterator[dict[str, Any]]:
+    def play_sequentially(
+        plan: experiment.ExperimentPlan, tasks: list[tuple[str, int]], _jobs: int
+    ) -> Iterator[dict[str, Any]]:
         for task in tasks:
             runs.append(task)
-            yield experiment.play(plan.scenario, *task)
+            yield experiment.simulate(plan.scenario, *task)
 
-    monkeypatch.setattr(experiment, "play_all", in_turn)
+    monkeypatch.setattr(experiment, "simulate_all", play_sequentially)
     return runs
--- a/tests/lab/model/test_simulation.py
+++ b/tests/lab/model/test_simulation.py
@@ -1,4 +1,4 @@
-"""Whole runs: each scenario plays, and equal seeds give equal runs."""
+"""Whole runs: each scenario file runs, and equal seeds give equal results."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
     simulation = simulate(
         msgspec.structs.replace(scenario, seconds=min(scenario.seconds, 240.0)), POLICIES["rosedeal"]
     )
-    assert simulation.rules.named == []
-    result = score.result(simulation)
+    assert simulation.rules.violations == []
+    result = score.compute_result(simulation)
     assert 0.3 < result["G"] <= 1.0
     assert sum(result["shares"].values()) == pytest.approx(1.0)
     assert result["shares"]["lost"] == 0.0
@@ -31,12 +31,14 @@
 @pytest.mark.parametrize("policy", POLICIES)
 def test_equal_seeds_give_equal_results(policy: str) -> None:
     scenario = parse_tiny(RELEASE)
-    first, again, other = (experiment.play(scenario, policy, seed) for seed in (3, 3, 4))
+    first, again, other = (experiment.simulate(scenario, policy, seed) for seed in (3, 3, 4))
     assert first == again
     assert first["G"] != other["G"]
 
 
 def test_all_policies_receive_the_same_requests() -> None:
+    """First tries must not depend on the policy; otherwise results could not be compared in pairs by seed."""
+
     def recorded(policy: str) -> list[tuple[object, ...]]:
         arrivals: list[tuple[object, ...]] = []
 
--- a/tests/lab/test_main.py
+++ b/tests/lab/test_main.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""Invalid arguments of the lab's commands."""
 
 from __future__ import annotations
 
@@ -28,17 +28,18 @@
         ("module", "--out", "/none/x"),
     ],
 )
-def test_bad_arguments_are_one_line_and_exit_code_2(
+def test_invalid_arguments_print_one_line_and_exit_with_code_2(
     arguments: tuple[str, ...],
     capsys: pytest.CaptureFixture[str],
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """A mistake in the arguments must print neither a traceback nor click's usage text."""
     monkeypatch.chdir(tmp_path)
     with pytest.raises(SystemExit) as ended:
         lab.main(list(arguments))
-    told = capsys.readouterr()
+    captured = capsys.readouterr()
     assert ended.value.code == 2
-    assert not told.out
-    (line,) = told.err.splitlines()
+    assert not captured.out
+    (line,) = captured.err.splitlines()
     assert line.startswith("lab: ")
