--- a/tests/decision_transcripts.py
+++ b/tests/decision_transcripts.py
@@ -117,8 +117,8 @@
         log_lines += [line for line in actions if line.startswith(LOG_PREFIX)]
         actual = [line for line in actions if not line.startswith(LOG_PREFIX)]
         if actual != expected:
-            place = f"batch {batch} at {now_us} us, after '{event[-1]}'"
-            raise MismatchError(f"{place}: recorded {expected}, decided {actual}")
+            location = f"batch {batch} at {now_us} us, after '{event[-1]}'"
+            raise MismatchError(f"{location}: recorded {expected}, decided {actual}")
     return log_lines
 
 
--- a/tests/decisions/test_concurrency_limit.py
+++ b/tests/decisions/test_concurrency_limit.py
@@ -79,7 +79,7 @@
     assert (driver.limit.limit < INITIAL_LIMIT) == lowers_limit
 
 
-def test_a_reported_queue_caps_the_limit_at_what_is_in_flight() -> None:
+def test_a_reported_queue_caps_the_limit_at_the_attempts_in_flight() -> None:
     """Gateways that used half of their limit kept sending more while every endpoint's queue grew."""
     driver = Driver(endpoints=8)
     driver.limit.limit = 30.0
@@ -102,7 +102,7 @@
     assert second_requests_sent < 10
 
 
-def test_prompt_answers_raise_the_limit_to_at_most_half_above_what_is_in_flight() -> None:
+def test_prompt_answers_raise_the_limit_to_at_most_half_above_the_attempts_in_flight() -> None:
     """With a limit of twice what was in flight, a burst overloaded the endpoints before the limit held it."""
     driver = Driver(endpoints=8)
     in_flight = [driver.start_request(request_class=2, timeout_us=1_000_000) for _ in range(5)]
--- a/tests/decisions/test_outliers.py
+++ b/tests/decisions/test_outliers.py
@@ -70,7 +70,7 @@
     assert endpoint.breakers[2].state is BreakerState.CLOSED
 
 
-def test_an_endpoint_that_fails_all_tenants_is_ejected_as_soon_as_with_one() -> None:
+def test_an_endpoint_that_fails_all_tenants_is_ejected_as_soon_as_with_one_tenant() -> None:
     driver = Driver(replace(SETTINGS, tenants=(Tenant(), Tenant())), endpoints=1)
     for n in range(2 * RING_SIZE):
         request_id, _ = driver.start_request(tenant=n % 2)
--- a/tests/decisions/test_rendezvous.py
+++ b/tests/decisions/test_rendezvous.py
@@ -5,7 +5,7 @@
 from load_balancer.decisions.rendezvous import rendezvous_rank
 
 
-def test_subsets_are_even_and_change_little() -> None:
+def test_endpoints_are_spread_evenly_over_subsets_and_a_removal_keeps_the_others() -> None:
     subset_counts = [0] * 40
     for gateway in range(400):
         ranks = sorted(range(40), key=lambda endpoint: rendezvous_rank(gateway, endpoint, 1.0))
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -89,7 +89,7 @@
     assert not sends(driver.handle(TimerFired(timer.token)))
 
 
-def test_an_overdue_attempt_is_cancelled_for_another_where_hedging_is_not_allowed() -> None:
+def test_an_overdue_attempt_is_moved_to_another_endpoint_where_hedging_is_not_allowed() -> None:
     """An idempotent request with a stalled answer waited for its deadline while other endpoints were idle."""
     driver = Driver(replace(SETTINGS, may_hedge=False))
     driver.classes[0].smoothed_us = 20_000.0
--- a/tests/gateway/process_helpers.py
+++ b/tests/gateway/process_helpers.py
@@ -71,7 +71,7 @@
 
 
 @asynccontextmanager
-async def process(
+async def running_process(
     endpoint: StubEndpoint, tmp_path: Path, sockets: int = 1024, **environ: str
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, int]]:
     discovery = StubDiscovery()
--- a/tests/gateway/test_client_disconnects.py
+++ b/tests/gateway/test_client_disconnects.py
@@ -39,7 +39,7 @@
 @pytest.mark.parametrize("may_cancel", [True, False])
 @pytest.mark.parametrize("ending", ["ends", "resets", "resets over unread bytes"])
 @runs_in_event_loop
-async def test_a_request_is_not_forwarded_if_its_client_disconnects_while_the_connection_comes_up(
+async def test_a_request_is_not_forwarded_if_its_client_disconnects_while_the_connection_opens(
     ending: str, may_cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """An attempt that waits for a connection is dropped unsent, also where attempts may not be cancelled."""
@@ -68,7 +68,7 @@
 
 
 @runs_in_event_loop
-async def test_a_disconnect_before_an_earlier_answer_is_read_counts_at_once() -> None:
+async def test_a_disconnect_is_noticed_before_earlier_answers_are_read() -> None:
     """The transport reports the loss of the connection only once the client has read all earlier answers.
 
     The attempt must be cancelled when the client closes its sending side, not only then.
--- a/tests/gateway/test_client_server.py
+++ b/tests/gateway/test_client_server.py
@@ -16,7 +16,7 @@
 
 @pytest.mark.parametrize(("endpoints", "status"), [(1, 200), (0, 503)])
 @runs_in_event_loop
-async def test_ready_once_endpoints_are_known(endpoints: int, status: int) -> None:
+async def test_a_gateway_is_ready_once_endpoints_are_known(endpoints: int, status: int) -> None:
     async with running_gateway(endpoint_count=endpoints) as gateway:
         # The cached list is freed once it is parsed; otherwise it would stay in memory beside the result.
         assert not gateway.proxy.config.cached_endpoint_list
@@ -87,13 +87,13 @@
         client = await gateway.client()
         await gateway.serve_request(client)
         (served_connection,) = gateway.client_server.connections
-        silent_client = await gateway.client()
+        inactive_client = await gateway.client()
         await wait_until(lambda: len(gateway.client_server.connections) == 2)
         for connection in gateway.client_server.connections:
             connection.last_activity -= client_server.FIRST_REQUEST_TIMEOUT_S + 0.1
             connection.reader.began_at -= client_server.FIRST_REQUEST_TIMEOUT_S + 0.1
         gateway.client_server.sweep()
-        assert await silent_client.is_closed()
+        assert await inactive_client.is_closed()
         assert gateway.client_server.connections == {served_connection}
         await gateway.serve_request(client)
 
--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -26,7 +26,7 @@
 from tests.gateway.stub_server import send_now
 
 
-async def test_a_watch_starts_from_the_cached_index_and_brings_changes() -> None:
+async def test_a_watch_starts_from_the_cached_index_and_receives_changes() -> None:
     async with running_gateway() as gateway:
         assert await next_list(gateway) == (ListKind.CACHED, ["h0 ready"])
         request_line, watch = await gateway.discovery.watches.get()
--- a/tests/gateway/test_discovery_call.py
+++ b/tests/gateway/test_discovery_call.py
@@ -43,7 +43,7 @@
         assert "index=5" in (await gateway.discovery.watches.get())[0]
 
 
-async def test_a_silent_watch_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_an_inactive_watch_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery_call, "INACTIVITY_TIMEOUT_S", 0.05)
     async with gateway_with_watch() as (gateway, _):
         assert await next_list(gateway) == (ListKind.ERROR, [])
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -18,8 +18,8 @@
 from tests.gateway.process_helpers import (
     connect,
     expect_final_answer,
-    process,
     reserved_port,
+    running_process,
     start_process,
 )
 from tests.gateway.running_gateway import running_gateway
@@ -38,7 +38,7 @@
 
 async def test_sigterm_answers_accepted_requests_and_exits_with_zero(tmp_path: Path) -> None:
     endpoint = StubEndpoint()
-    async with process(endpoint, tmp_path) as (child, port):
+    async with running_process(endpoint, tmp_path) as (child, port):
         busy_client = await connect(port)
         assert (await busy_client.request(b"GET /health/ready HTTP/1.1\r\n\r\n"))[0] == 200
         busy_client.send(encode_request())
@@ -57,7 +57,7 @@
     await old_discovery.start()
     await new_discovery.start()
     path = tmp_path / "config.json"
-    async with process(endpoint, tmp_path, ROUTER_DISCOVERY=old_discovery.address) as (child, port):
+    async with running_process(endpoint, tmp_path, ROUTER_DISCOVERY=old_discovery.address) as (child, port):
         await old_discovery.watches.get()
         valid_text = path.read_text()
         path.write_text("{")
@@ -79,7 +79,7 @@
 @pytest.mark.parametrize(
     ("sent_signal", "exit_code"), [(signal.SIGHUP, None), (signal.SIGTERM, -signal.SIGTERM)]
 )
-async def test_signals_before_the_process_is_ready(
+async def test_sigterm_but_not_sighup_ends_a_process_that_is_not_ready(
     sent_signal: signal.Signals, exit_code: int | None, tmp_path: Path
 ) -> None:
     """SIGHUP must not end the process before its loop runs. SIGTERM may: no request has been accepted."""
@@ -100,7 +100,7 @@
 
 async def test_repeated_signals_lose_no_request(tmp_path: Path) -> None:
     endpoint = StubEndpoint()
-    async with process(endpoint, tmp_path) as (child, port):
+    async with running_process(endpoint, tmp_path) as (child, port):
         busy_client = await connect(port)
         busy_client.send(encode_request("buy"))
         received = await endpoint.requests.get()
@@ -118,7 +118,7 @@
 
 async def test_a_hung_endpoint_delays_the_shutdown_until_the_deadline_only(tmp_path: Path) -> None:
     endpoint = StubEndpoint()
-    async with process(endpoint, tmp_path) as (child, port):
+    async with running_process(endpoint, tmp_path) as (child, port):
         client = await connect(port)
         client.send(encode_request("buy", Request_Timeout_Ms="900"))
         await endpoint.requests.get()
@@ -132,8 +132,8 @@
     """Idle clients could otherwise use up the descriptors that discovery and endpoints need."""
     endpoint, added_endpoint, discovery = StubEndpoint(), StubEndpoint(), StubDiscovery()
     await added_endpoint.start()
-    discovery_address, sockets = discovery.bind(), 256
-    async with process(endpoint, tmp_path, sockets, ROUTER_DISCOVERY=discovery_address) as (child, port):
+    address, sockets = discovery.bind(), 256
+    async with running_process(endpoint, tmp_path, sockets, ROUTER_DISCOVERY=address) as (child, port):
 
         async def connect_within_limit() -> HttpClient:
             client = await connect(port)
@@ -173,7 +173,7 @@
 
 
 async def test_an_idle_connection_does_not_delay_the_shutdown(tmp_path: Path) -> None:
-    async with process(StubEndpoint(), tmp_path) as (child, port):
+    async with running_process(StubEndpoint(), tmp_path) as (child, port):
         idle_client = await connect(port)
         partial_client = await connect(port)
         partial_client.send(encode_request()[:20])
--- a/tests/gateway/test_process_start.py
+++ b/tests/gateway/test_process_start.py
@@ -100,7 +100,7 @@
     assert expected_error in line
 
 
-def test_a_large_configuration_is_held_once_while_it_is_read(tmp_path: Path) -> None:
+def test_a_large_configuration_is_in_memory_only_once_while_it_is_read(tmp_path: Path) -> None:
     """A second copy of the settings would determine the peak memory of the start."""
     tenants = [{"name": f"t{n}", "note": "x" * 2_000} for n in range(1_000)]
     document = configuration_with_settings(tenants=tenants)
--- a/tests/gateway/test_reload.py
+++ b/tests/gateway/test_reload.py
@@ -142,7 +142,7 @@
         assert (await client.read_response())[0] == 200
 
 
-async def test_a_pipelined_request_is_read_by_the_settings_version_of_its_turn(tmp_path: Path) -> None:
+async def test_a_pipelined_request_follows_the_settings_in_force_at_its_turn(tmp_path: Path) -> None:
     async with reloadable_gateway(tmp_path) as instance:
         client = await instance.gateway.client()
         client.send(
@@ -159,7 +159,7 @@
         assert (await client.read_response())[0] == 200
 
 
-async def test_requests_are_served_during_a_reading_and_the_last_content_is_applied(
+async def test_requests_are_served_during_a_reload_and_the_last_content_is_applied(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with reloadable_gateway(tmp_path) as instance:
@@ -180,7 +180,7 @@
 
 
 @pytest.mark.parametrize("ending", ["applied", "rejected", "closed"])
-async def test_no_garbage_collection_runs_during_a_reading(
+async def test_no_garbage_collection_runs_during_a_reload(
     ending: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A full collection of the objects being read would block the loop for milliseconds."""
@@ -198,7 +198,7 @@
         assert instance.settings_version == (2 if ending == "applied" else 1)
 
 
-async def test_a_reading_interrupted_by_shutdown_changes_nothing(
+async def test_a_reload_interrupted_by_shutdown_changes_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with reloadable_gateway(tmp_path) as instance:
@@ -226,7 +226,7 @@
 
 
 @pytest.mark.parametrize("same_settings", [False, True])
-async def test_the_address_of_discovery_changes_with_the_settings_and_without(
+async def test_the_address_of_discovery_changes_with_or_without_changed_settings(
     same_settings: bool, tmp_path: Path
 ) -> None:
     new_discovery = StubDiscovery()
@@ -272,9 +272,7 @@
         assert classes[1].answer_count == 60
 
 
-async def test_the_heap_is_trimmed_after_each_reading(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+async def test_the_heap_is_trimmed_after_each_reload(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Otherwise the process would keep the memory of a reading, also of one whose file was rejected."""
     trim_calls = list[int]()
     monkeypatch.setattr(reload, "trim_heap", lambda: trim_calls.append(1))
--- a/tests/gateway/test_request_tracker.py
+++ b/tests/gateway/test_request_tracker.py
@@ -79,7 +79,7 @@
 
 
 @runs_in_event_loop
-async def test_requests_over_the_limit_are_rejected() -> None:
+async def test_requests_over_the_limit_on_open_requests_are_rejected() -> None:
     async with running_gateway(settings=settings(mostHeld=1)) as gateway:
         first = await gateway.client()
         first.send(encode_request())
@@ -92,7 +92,7 @@
 
 @pytest.mark.parametrize("may_cancel", [True, False])
 @runs_in_event_loop
-async def test_a_request_answered_while_its_connection_comes_up_is_not_forwarded(
+async def test_a_request_answered_while_its_connection_opens_is_not_forwarded(
     may_cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its deadline passes while it waits for a connection; nothing may be sent once that is open."""
--- a/tests/lab/model/mutants.py
+++ b/tests/lab/model/mutants.py
@@ -45,7 +45,7 @@
         return request.event.request_class == 1
 
 
-class RefusesAfterExecution(ResendsUnsafe):
+class RejectsAfterExecution(ResendsUnsafe):
     def send_attempt(self, now_us: int, request_id: str) -> list[Action]:
         if self.open_requests[request_id].tried_endpoints and self.is_unsafe(self.open_requests[request_id]):
             del self.open_requests[request_id]
--- a/tests/lab/model/test_score.py
+++ b/tests/lab/model/test_score.py
@@ -12,20 +12,20 @@
 def test_score_is_the_share_of_weight_served_in_time() -> None:
     """Answers in time count in full, late answers count a quarter, and rejections count nothing."""
 
-    class RefusesAll(ReferencePolicy):
+    class RejectsAll(ReferencePolicy):
         def handle(self, _now_us: int, event: Event) -> list[Action]:
             return [Reject(event.request_id)] if isinstance(event, RequestArrived) else []
 
-    kind = TINY.replace("errors = 0.1\n", "")
-    served = score.compute_result(simulate(scenario_files.parse(kind, "tiny.toml"), ReferencePolicy))
+    text = TINY.replace("errors = 0.1\n", "")
+    served = score.compute_result(simulate(scenario_files.parse(text, "tiny.toml"), ReferencePolicy))
     assert served["G"] == served["worst_window"] == 1.0
     assert served["shares"]["in_time"] == 1.0
-    refused = score.compute_result(simulate(parse_tiny(), RefusesAll))
-    assert refused["G"] == 0.0
-    assert refused["shares"]["refused"] == 1.0
-    assert refused["p99_ms"] is None
-    kind = kind.replace("[0.9, 1.1]", "[0.05, 0.05]").replace("rate_per_s = 40.0", "rate_per_s = 2.0")
-    late = score.compute_result(simulate(scenario_files.parse(kind, "tiny.toml"), ReferencePolicy))
+    rejected = score.compute_result(simulate(parse_tiny(), RejectsAll))
+    assert rejected["G"] == 0.0
+    assert rejected["shares"]["refused"] == 1.0
+    assert rejected["p99_ms"] is None
+    text = text.replace("[0.9, 1.1]", "[0.05, 0.05]").replace("rate_per_s = 40.0", "rate_per_s = 2.0")
+    late = score.compute_result(simulate(scenario_files.parse(text, "tiny.toml"), ReferencePolicy))
     assert late["shares"]["late"] > 0.8
     assert late["G"] < 0.45, "a late answer keeps a quarter of its weight"
 
--- a/tests/lab/model/test_simulation.py
+++ b/tests/lab/model/test_simulation.py
@@ -39,7 +39,7 @@
 def test_all_policies_receive_the_same_requests() -> None:
     """First tries must not depend on the policy; otherwise results could not be compared in pairs by seed."""
 
-    def recorded(policy: str) -> list[tuple[object, ...]]:
+    def recorded_arrivals(policy: str) -> list[tuple[object, ...]]:
         arrivals: list[tuple[object, ...]] = []
 
         def create_policy(settings: Settings, seed: int) -> Policy:
@@ -66,9 +66,9 @@
         simulate(parse_tiny(RELEASE), create_policy)
         return arrivals
 
-    first = recorded("rosedeal")
+    first = recorded_arrivals("rosedeal")
     assert len(first) > 300
-    assert all(recorded(policy) == first for policy in ("random", "two-choices"))
+    assert all(recorded_arrivals(policy) == first for policy in ("random", "two-choices"))
 
 
 @pytest.mark.parametrize("policy", POLICIES)
--- a/tests/lab/test_schedule.py
+++ b/tests/lab/test_schedule.py
@@ -15,8 +15,8 @@
     distinct = {repr(schedule.churn(seed, scenario, 420, 10.0)) for seed in range(20)}
     # The 20 seeds choose 13 of the 14 racks.
     assert len(distinct) == {"rack": 13, "zone": 7, "region": 2}.get(scenario, 20)
-    last = {number: what for _, what, numbers in changes for number in numbers}
-    assert set(last.values()) <= {"active"}
+    last_statuses = {number: status for _, status, numbers in changes for number in numbers}
+    assert set(last_statuses.values()) <= {"active"}
     assert changes == sorted(changes, key=lambda change: change[0])
 
 
