--- a/tests/decisions/test_settings_version.py
+++ b/tests/decisions/test_settings_version.py
@@ -116,7 +116,7 @@
     assert sends(driver.start_request(request_class=2, timeout_us=1_000_000)[1])
 
 
-def test_a_removed_class_leaves_no_open_breaker_behind() -> None:
+def test_a_removed_tenant_leaves_no_open_breaker_behind() -> None:
     """An open breaker is never evicted while it may be used: each settings change would leak some of them."""
     driver = Driver(INITIAL_SETTINGS, endpoints=2)
     trip(driver.endpoints[0].breakers[1], driver.now_us)
