--- a/tests/decisions/rule_checker.py
+++ b/tests/decisions/rule_checker.py
@@ -45,7 +45,7 @@
     key: int | None = None
     attempts: list[Attempt] = field(default_factory=list)
     final_answers: list[Action] = field(default_factory=list)
-    done: bool = False  # whether it has its answer or its client has disconnected
+    done: bool = False  # Whether it has its answer or its client has disconnected.
 
 
 class RuleChecker:
@@ -57,7 +57,7 @@
         self.balancer = Balancer(settings, seed)
         self.now_us = START_US
         self.requests: dict[str, ClientRequest] = {}
-        self.timers: list[tuple[int, int]] = []  # due time and token of each
+        self.timers: list[tuple[int, int]] = []  # The due time and the token of each timer.
         self.status_by_endpoint = dict.fromkeys(GROUP_BY_ENDPOINT, EndpointStatus.READY)
         self.handle(
             EndpointListReceived(
--- a/tests/decisions/sparse_dense_comparison.py
+++ b/tests/decisions/sparse_dense_comparison.py
@@ -40,10 +40,10 @@
         self.settings = self.draw_settings(classes, tenants)
         self.sparse, self.dense = Balancer(self.settings, seed), DenseBalancer(self.settings, seed)
         self.now_us, self.request_count = START_US, 0
-        self.attempt_counts: dict[str, int] = {}  # number of attempts by request id
+        self.attempt_counts: dict[str, int] = {}  # Number of attempts by request id.
         # Endpoint and time of sending, by request id and attempt number.
         self.in_flight: dict[tuple[str, int], tuple[int, int]] = {}
-        self.timers: list[tuple[int, int]] = []  # due time and token of each
+        self.timers: list[tuple[int, int]] = []  # The due time and the token of each timer.
         self.actions: list[object] = []
         self.endpoint_count, self.tenants = self.random.choice((2, 6, 12)), max(1, tenants)
         self.handle(
--- a/tests/decisions/test_client_timeouts.py
+++ b/tests/decisions/test_client_timeouts.py
@@ -1,4 +1,4 @@
-"""Tests of telling a client's first tries from its retries."""
+"""Tests that a client's first tries are distinguished from its retries."""
 
 from __future__ import annotations
 
--- a/tests/decisions/test_concurrency_limit.py
+++ b/tests/decisions/test_concurrency_limit.py
@@ -29,7 +29,7 @@
 
 
 def test_the_limit_falls_where_a_third_of_the_answers_are_slow() -> None:
-    """The limit held while a third of the answers were slow; slower endpoints collapsed before the rest."""
+    """The limit did not fall while a third of the answers were slow; the slower endpoints collapsed first."""
     driver = Driver(endpoints=8)
     driver.limit.has_seen_slow_answer, driver.limit.limit = True, 12.0
     in_flight = [driver.start_request(request_class=2, timeout_us=1_000_000) for _ in range(9)]
@@ -69,7 +69,7 @@
 ) -> None:
     """Full endpoints reject at once, so few requests were in flight and each was sent to four endpoints.
 
-    The other endpoints' answers stayed prompt for a second more; by then these endpoints had collapsed.
+    Slow answers would lower the limit only a second later, when the full endpoints have collapsed.
     """
     driver = Driver(endpoints=8)
     request_id, actions = driver.start_request()
@@ -103,7 +103,7 @@
 
 
 def test_prompt_answers_raise_the_limit_to_at_most_half_above_the_attempts_in_flight() -> None:
-    """With a limit of twice what was in flight, a burst overloaded the endpoints before the limit held it."""
+    """With a limit of twice what was in flight, a burst overloaded the endpoints before any was shed."""
     driver = Driver(endpoints=8)
     in_flight = [driver.start_request(request_class=2, timeout_us=1_000_000) for _ in range(5)]
     for _ in range(30):
--- a/tests/decisions/test_latency.py
+++ b/tests/decisions/test_latency.py
@@ -6,7 +6,7 @@
 
 
 def test_a_new_gateway_learns_the_unloaded_latency_from_a_few_answers() -> None:
-    """Restarted gateways took overload for normal, as their unloaded latency started high and fell slowly."""
+    """Restarted gateways noticed no overload, as their unloaded latency started high and fell slowly."""
     driver = Driver(endpoints=1)
     balancer = driver.balancer
     start_us = balancer.context.classes[0].unloaded_us
--- a/tests/decisions/test_load_reports.py
+++ b/tests/decisions/test_load_reports.py
@@ -11,7 +11,10 @@
 def test_an_endpoint_that_reports_a_queue_slow_service_or_errors_gets_fewer_requests(
     reported: tuple[str, float], driver: Driver
 ) -> None:
-    """Each of forty gateways had less than one request in flight per endpoint and could not see the rest."""
+    """Each of forty gateways had less than one request in flight per endpoint.
+
+    From its own requests, a gateway could not notice the load that the others caused.
+    """
     requests_by_endpoint = [0, 0, 0]
     for _ in range(600):
         request_id, actions = driver.start_request()
@@ -29,7 +32,7 @@
         request_id, actions = driver.start_request()
         endpoint_id = sends(actions)[0].endpoint_id
         requests_by_endpoint[endpoint_id] += 1
-        # 0.3 errors/s, of 33 answers/s.
+        # The endpoint reports 0.3 errors/s; this gateway sends it about 33 requests/s.
         driver.end_attempt(request_id, endpoint_id, load=(("eps", 0.3 if endpoint_id == 0 else 0.0),))
         driver.now_us += 10_000
     assert requests_by_endpoint[0] > 0.6 * min(requests_by_endpoint[1:])
--- a/tests/decisions/test_settings_version.py
+++ b/tests/decisions/test_settings_version.py
@@ -117,7 +117,7 @@
 
 
 def test_a_removed_tenant_leaves_no_open_breaker_behind() -> None:
-    """An open breaker is never evicted while it may be used: each settings change would leak some of them."""
+    """Only closed breakers expire: each settings change could leave open ones of removed tenants behind."""
     driver = Driver(INITIAL_SETTINGS, endpoints=2)
     trip(driver.endpoints[0].breakers[1], driver.now_us)
     trip(driver.endpoints[0].breakers[2], driver.now_us)
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -17,7 +17,7 @@
 
 def test_all_gateways_together_keep_endpoints_within_the_slow_start_budget() -> None:
     """Each of forty gateways sent its one allowed request when an endpoint was listed, all forty at once."""
-    work_us = [0.0] * 20  # work sent to the endpoint in each half second
+    work_us = [0.0] * 20  # Work sent to the endpoint in each half second, by all gateways.
     for gateway in range(40):
         driver = Driver(replace(SLOW_START_SETTINGS, gateway_index=gateway), endpoints=0, seed=gateway)
         driver.list_endpoints(Endpoint(1, started_us=driver.now_us))
--- a/tests/decisions/test_sparse_state.py
+++ b/tests/decisions/test_sparse_state.py
@@ -1,4 +1,7 @@
-"""Tests that state created on first use gives the decisions of full state, at the same cost at any size."""
+"""Tests that state created on first use gives the same decisions as complete state.
+
+Complete state has an entry for every endpoint, class and tenant. A request costs the same at any number.
+"""
 
 from __future__ import annotations
 
--- a/tests/gateway/process_helpers.py
+++ b/tests/gateway/process_helpers.py
@@ -74,6 +74,7 @@
 async def running_process(
     endpoint: StubEndpoint, tmp_path: Path, sockets: int = 1024, **environ: str
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, int]]:
+    """Run a gateway's process between the endpoint and a stub of discovery; yields it and its port."""
     discovery = StubDiscovery()
     await endpoint.start()
     await discovery.start()
--- a/tests/gateway/stub_server.py
+++ b/tests/gateway/stub_server.py
@@ -10,7 +10,7 @@
 
 
 def send_now(writer: asyncio.StreamWriter, data: bytes) -> None:
-    """Send on the socket itself, in this turn of the event loop, before either side reads again."""
+    """Send on the socket itself, in this iteration of the event loop, before either side reads again."""
     with socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno())) as duplicate:
         duplicate.send(data)
 
--- a/tests/gateway/test_attempts.py
+++ b/tests/gateway/test_attempts.py
@@ -1,4 +1,4 @@
-"""Outcomes of attempts: each way in which one can end is reported to the balancer by the right outcome."""
+"""Outcomes of attempts: each way in which one can end is reported to the balancer with its outcome."""
 
 from __future__ import annotations
 
@@ -134,7 +134,7 @@
 async def test_an_endless_response_ends_its_attempt(prefix: bytes) -> None:
     """The limit on a response counts all of its bytes, and not only complete headers and the body.
 
-    Otherwise an unfinished header, a chunk extension or a series of interim responses could go on for ever.
+    Otherwise an attempt would read an unfinished header, a chunk extension or interim responses without end.
     """
     async with running_gateway() as gateway:
         client = await gateway.client()
--- a/tests/gateway/test_client_disconnects.py
+++ b/tests/gateway/test_client_disconnects.py
@@ -71,7 +71,7 @@
 async def test_a_disconnect_is_noticed_before_earlier_answers_are_read() -> None:
     """The transport reports the loss of the connection only once the client has read all earlier answers.
 
-    The attempt must be cancelled when the client closes its sending side, not only then.
+    The attempt must be cancelled as soon as the client closes its sending side.
     """
     async with running_gateway() as gateway:
         client = await gateway.client()
@@ -181,9 +181,9 @@
 async def test_no_attempt_starts_after_a_disconnect_that_the_loop_has_not_read(
     attempt: str, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The client disconnects in the turn of the loop in which the attempt is to be written.
+    """The client disconnects in the iteration of the loop in which the attempt is to be written.
 
-    The loop reads that only afterwards, so the gateway polls the client's socket before each attempt.
+    The loop reads that event only afterwards, so the gateway polls the client's socket before each attempt.
     """
     async with running_gateway(settings=settings(maxAttempts=2)) as gateway:
         script_decisions(gateway, ["h0"] * 4, "h0")
--- a/tests/gateway/test_client_server.py
+++ b/tests/gateway/test_client_server.py
@@ -135,7 +135,7 @@
 
 @runs_in_event_loop
 async def test_empty_lines_after_a_request_are_not_a_partial_request() -> None:
-    """Taken for the start of a request, they would cause a 408 on an idle connection."""
+    """If they counted as the start of a request, an idle connection would be answered 408."""
     async with running_gateway() as gateway:
         client = await gateway.client()
         await gateway.serve_request(client)
@@ -172,9 +172,9 @@
 async def test_shutdown_answers_the_next_pipelined_request_before_it_closes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """After an answer, a pipelined request is queued and none is being served until the loop's next turn.
+    """After an answer, a pipelined request is queued and none is served until the loop's next iteration.
 
-    A connection that was taken for idle and closed then would lose the second answer.
+    If the connection counted as idle and was closed then, the second answer would be lost.
     """
     monkeypatch.setattr(client_server, "SHUTDOWN_POLL_S", 0.0)
     monkeypatch.setattr(client_server, "PARTIAL_REQUEST_GRACE_S", -1.0)
--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -58,9 +58,9 @@
 
 
 def test_the_inactivity_timeout_leaves_time_for_a_failed_call_and_a_successful_one() -> None:
-    """Shorter, it would end watches that send a line every 2 s.
+    """A shorter timeout would end watches that send a line every 2 s.
 
-    Longer, the call after a silent watch would be answered after the deadline for changes.
+    With a longer one, the call after an inactive watch would be answered after the deadline for changes.
     """
     line_interval_s, answer_time_s = 2.0, 1.0
     waits_s = retry_waits_s(2, Settings((IDEMPOTENT,), endpoints_are_pushed=False))
--- a/tests/gateway/test_discovery_messages.py
+++ b/tests/gateway/test_discovery_messages.py
@@ -118,7 +118,7 @@
 async def test_a_truncated_message_does_not_lose_the_next_one(
     truncated: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Read on to its end, a truncated message would take in the next one, and both would be skipped."""
+    """If the splitter looked for its end in the next message, both would be skipped."""
     async with gateway_with_watch() as (gateway, watch):
         watch.write(
             encode_chunk(truncated + "\n")
@@ -138,7 +138,7 @@
 
 
 async def test_a_complete_list_keeps_endpoints_whose_entries_cannot_be_read() -> None:
-    """Taken for unlisted, an endpoint would be drained because of an error in its entry."""
+    """If it counted as unlisted, an endpoint would be drained because of an error in its entry."""
     async with gateway_with_watch(endpoint_count=2) as (gateway, watch):
         entries = [
             endpoint_entry("h0", "nowhere"),
--- a/tests/gateway/test_graceful_shutdown.py
+++ b/tests/gateway/test_graceful_shutdown.py
@@ -56,7 +56,7 @@
         drain.send(None)  # runs up to the wait before the listener is closed
         queued_socket = socket.create_connection(address)
         queued_socket.send(encode_request())
-        drain.send(None)  # ends that wait in this turn of the loop, in which nothing has been accepted yet
+        drain.send(None)  # ends that wait in this iteration of the loop, before anything is accepted
         drain_task = asyncio.create_task(drain)
         client = HttpClient(*await asyncio.open_connection(sock=queued_socket))
         (await gateway.endpoint.requests.get()).respond()
--- a/tests/gateway/test_reload.py
+++ b/tests/gateway/test_reload.py
@@ -273,7 +273,7 @@
 
 
 async def test_the_heap_is_trimmed_after_each_reload(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Otherwise the process would keep the memory of a reading, also of one whose file was rejected."""
+    """Otherwise the process would keep the memory that reading the file took, even if it was rejected."""
     trim_calls = list[int]()
     monkeypatch.setattr(reload, "trim_heap", lambda: trim_calls.append(1))
     async with reloadable_gateway(tmp_path) as instance:
--- a/tests/gateway/test_request_tracker.py
+++ b/tests/gateway/test_request_tracker.py
@@ -113,7 +113,7 @@
 
 @runs_in_event_loop
 async def test_the_balancer_answers_a_time_out_that_is_due_with_the_deadline_timer() -> None:
-    """Both timers are due in one turn of the loop.
+    """Both timers are due in one iteration of the loop.
 
     If the deadline timer ran first, the client would get its 504 in place of the balancer's answer.
     """
--- a/tests/gateway/test_simultaneous_ends.py
+++ b/tests/gateway/test_simultaneous_ends.py
@@ -1,4 +1,4 @@
-"""Several ends of one attempt in one turn of the loop: the first counts, and no two copies are in flight."""
+"""Several ends of an attempt in one iteration of the loop: the first counts, and one copy is in flight."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 async def test_no_attempt_is_written_while_the_connection_of_the_previous_one_is_open(
     cause: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An aborted connection closes only in the loop's next turn.
+    """An aborted connection closes only in the loop's next iteration.
 
     An attempt written before that would leave two copies of the request in flight.
     """
@@ -97,10 +97,10 @@
 async def test_the_first_of_simultaneous_ends_counts_once(
     first: EndFunction, second: EndFunction, response_state: str
 ) -> None:
-    """Two of a time-out, a cancel and a disconnect come in one turn of the loop, in any order.
+    """Two of a time-out, a cancel and a disconnect come in one iteration of the loop, in any order.
 
-    A response comes not at all, has not been read yet, or has been read before them. Each end could
-    report an outcome of its own.
+    The response has not been sent, has not been read yet, or has been read before them. Without a check,
+    each end would report an outcome.
     """
     async with running_gateway(settings=settings(maxAttempts=2)) as gateway:
         script_decisions(gateway, ["h0", "h0"], "h0")
--- a/tests/gateway/test_upstream_pool.py
+++ b/tests/gateway/test_upstream_pool.py
@@ -118,7 +118,7 @@
         (idle,) = gateway.proxy.upstream.connections
         (writer,) = gateway.endpoint.writers
         responses: list[Response | None] = []
-        # All in one turn of the loop, which reads nothing in between.
+        # All in one iteration of the loop, which reads nothing in between.
         with socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno())) as duplicate:
             duplicate.send(unread_input) if unread_input else duplicate.shutdown(socket.SHUT_RDWR)
         gateway.proxy.upstream.send(
--- a/tests/lab/model/mutants.py
+++ b/tests/lab/model/mutants.py
@@ -14,6 +14,8 @@
 
 
 class AnswersTwice(ReferencePolicy):
+    """Gives each request two final answers."""
+
     def handle(self, now_us: int, event: Event) -> list[Action]:
         if isinstance(event, RequestArrived):
             return [Reject(event.request_id), Reject(event.request_id)]
@@ -21,11 +23,15 @@
 
 
 class NeverAnswers(ReferencePolicy):
+    """Gives no request a final answer."""
+
     def handle(self, now_us: int, event: Event) -> list[Action]:
         return [] if isinstance(event, RequestArrived) else super().handle(now_us, event)
 
 
 class SendsAfterEnd(ReferencePolicy):
+    """Sends each request after its final answer."""
+
     def handle(self, now_us: int, event: Event) -> list[Action]:
         if isinstance(event, RequestArrived):
             return [Reject(event.request_id), Send(event.request_id, self.ready_endpoints[0], 1_000)]
@@ -46,6 +52,8 @@
 
 
 class RejectsAfterExecution(ResendsUnsafe):
+    """Rejects requests that are not idempotent though they may have been executed."""
+
     def send_attempt(self, now_us: int, request_id: str) -> list[Action]:
         if self.open_requests[request_id].tried_endpoints and self.is_unsafe(self.open_requests[request_id]):
             del self.open_requests[request_id]
@@ -54,6 +62,8 @@
 
 
 class SendsTwice(ReferencePolicy):
+    """Sends two attempts of each request at the same time."""
+
     def send_attempt(self, now_us: int, request_id: str) -> list[Action]:
         return [action for action in super().send_attempt(now_us, request_id) for _ in range(2)]
 
@@ -99,5 +109,7 @@
 
 
 class RepeatsAnywhere(ResendsUnsafe):
+    """Retries requests of every class after an error, whatever the endpoint and the time."""
+
     def is_unsafe(self, _request: OpenRequest) -> bool:
         return True
--- a/tests/lab/test_reload.py
+++ b/tests/lab/test_reload.py
@@ -10,7 +10,7 @@
 
 
 def test_small_reload_run_reports_how_soon_changes_are_in_force(tmp_path: Path) -> None:
-    """Each change must be seen by probes of the real gateway, and be made at each simulated gateway."""
+    """Each change must be seen by probes of the real gateway, and be applied by each simulated gateway."""
     size_options = (
         "--servers=8",
         "--routes=4",
--- a/tests/lab/test_stand_ins.py
+++ b/tests/lab/test_stand_ins.py
@@ -30,6 +30,8 @@
 
 @dataclass
 class Rig:
+    """A real gateway and the stand-ins that it connects to, with the ports of the stand-in endpoints."""
+
     registry: Registry
     statements: StandInEndpoints
     ports: dict[str, int]
--- a/tests/lab/test_stored_results.py
+++ b/tests/lab/test_stored_results.py
@@ -75,7 +75,7 @@
 
 @pytest.fixture
 def stored_after(tmp_path: Path) -> Path:
-    """A copy of the stored folder that may be written to."""
+    """Return a copy of the stored folder that may be written to."""
     return Path(shutil.copytree(AFTER, tmp_path / "stored"))
 
 
@@ -213,7 +213,7 @@
 
 @pytest.fixture
 def build_folder(tmp_path: Path) -> Path:
-    """A checkout with a finished build, and stand-ins for commands that record how they were called."""
+    """Make a checkout with a finished build, and stand-ins for commands, which record their arguments."""
     commands = tmp_path / "commands"
     commands.mkdir()
     for name in ("rm", "python3", "cp"):
--- a/tests/lab/test_up.py
+++ b/tests/lab/test_up.py
@@ -1,4 +1,4 @@
-"""The example deployment."""
+"""The example deployment that `lab up` starts."""
 
 from __future__ import annotations
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -31,7 +31,7 @@
 
 @pytest.fixture
 def document() -> dict[str, Any]:
-    """A copy of the valid document, which a test may change."""
+    """Return a copy of the valid document, which a test may change."""
     return copy.deepcopy(VALID)
 
 
@@ -70,7 +70,7 @@
 
 @pytest.fixture
 def minimal_file(path: Path) -> Path:
-    """A file with the required fields only."""
+    """Write a file with the required fields only and return its path."""
     minimal = {key: VALID[key] for key in ("name", "listen", "discovery")}
     path.write_text(json.dumps(minimal | {"settings": {"lanes": [{"name": "a", "giveUpUs": 9.0}]}}))
     return path
@@ -101,7 +101,7 @@
 
 @pytest.fixture
 def changed_document(document: dict[str, Any]) -> dict[str, Any]:
-    """The valid document with a class added and one changed, a tenant removed, and other settings changed."""
+    """Return the valid document with one class added, one changed, one tenant removed, and other changes."""
     classes, tenants = document["settings"]["lanes"], document["settings"]["tenants"]
     classes[2]["aimUs"] = 500_000
     classes.insert(0, {"name": "list-stops", "giveUpUs": 5})  # changes the index of all other classes
--- a/tests/test_decision_transcripts.py
+++ b/tests/test_decision_transcripts.py
@@ -38,7 +38,7 @@
 
 @cache
 def replay_log(path: Path) -> tuple[str, ...]:
-    """Return the log lines of a replay; a MismatchError, where an action differs, is not cached."""
+    """Return the log lines of a replay, from the cache after the first call unless that raised an error."""
     return tuple(replay(load_transcript(path)))
 
 
