--- a/tests/decisions/test_settings_version.py
+++ b/tests/decisions/test_settings_version.py
@@ -116,8 +116,8 @@
     assert sends(driver.start_request(request_class=2, timeout_us=1_000_000)[1])
 
 
-def test_a_removed_class_leaves_no_open_breaker_behind() -> None:
-    """An open breaker is never evicted while it may be used: each settings change would leak some of them."""
+def test_a_removed_tenant_leaves_no_open_breaker_behind() -> None:
+    """Only closed breakers expire: each settings change could leave open ones of removed tenants behind."""
     driver = Driver(INITIAL_SETTINGS, endpoints=2)
     trip(driver.endpoints[0].breakers[1], driver.now_us)
     trip(driver.endpoints[0].breakers[2], driver.now_us)
