--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -28,7 +28,7 @@
     type=click.IntRange(100),
     help="Memory limit of all processes, in MB [default: half of the machine's]",
 )
-latency_bound_option = click.option(
+lateness_bound_option = click.option(
     "--late-ms",
     type=click.FloatRange(1),
     default=25.0,
@@ -174,7 +174,7 @@
     show_default=True,
 )
 @memory_option
-@latency_bound_option
+@lateness_bound_option
 @out_option
 def scale_command(
     out: Path,
@@ -236,7 +236,7 @@
 )
 @seed_option
 @memory_option
-@latency_bound_option
+@lateness_bound_option
 @out_option
 def reload_command(out: Path, memory_mb: int | None, hollow: int, **sizes: Any) -> int:
     """Measure changes of one tenant in running gateways; write result.json and print a table."""
--- a/lab/model/clients.py
+++ b/lab/model/clients.py
@@ -13,7 +13,7 @@
 from load_balancer.decisions.events import ClientDisconnected, RequestArrived
 from load_balancer.decisions.settings import DeduplicationScope
 
-NOT_EXECUTED = (RequestEnd.REFUSED, RequestEnd.UNREACHABLE)
+ALWAYS_RETRYABLE = (RequestEnd.REFUSED, RequestEnd.UNREACHABLE)
 
 
 class Clients:
@@ -66,7 +66,7 @@
     def _may_retry(self, request: GatewayRequest, end: RequestEnd, elapsed_us: int) -> bool:
         """Return whether the client may send its request again without the risk of a second effect."""
         terms = request.request_class
-        if end in NOT_EXECUTED or terms.effect is Effect.IDEMPOTENT:
+        if end in ALWAYS_RETRYABLE or terms.effect is Effect.IDEMPOTENT:
             return True
         deduplicated = terms.effect is Effect.IDEMPOTENCY_KEY and terms.scope is DeduplicationScope.ALL
         return deduplicated and elapsed_us < to_us(terms.window_s)
--- a/lab/model/overload.py
+++ b/lab/model/overload.py
@@ -60,9 +60,9 @@
             return None
         notified_work_us: dict[int, float] = {}
         for _, received in self._jobs:
-            notified_us = received.work_us * received.sender_notified_of_start
+            job_work_us = received.work_us * received.sender_notified_of_start
             notified_work_us[received.gateway_index] = (
-                notified_work_us.get(received.gateway_index, 0.0) + notified_us
+                notified_work_us.get(received.gateway_index, 0.0) + job_work_us
             )
         return Overload(
             sum(notified_work_us.values()) / work_us, max(notified_work_us, key=lambda n: notified_work_us[n])
--- a/lab/model/policies.py
+++ b/lab/model/policies.py
@@ -27,7 +27,7 @@
 )
 from load_balancer.decisions.settings import Idempotency, Settings
 
-POLL_INTERVAL_US = 500_000
+RESUBSCRIBE_DELAY_US = 500_000
 
 
 class Policy(Protocol):
@@ -104,7 +104,7 @@
     def on_list(self, now_us: int, event: EndpointListReceived) -> list[Action]:
         """Apply an endpoint list, and subscribe to changes after the cached list."""
         if event.kind is ListKind.ERROR:
-            return [] if self.settings.endpoints_are_pushed else [SetTimer(now_us + POLL_INTERVAL_US, 0)]
+            return [] if self.settings.endpoints_are_pushed else [SetTimer(now_us + RESUBSCRIBE_DELAY_US, 0)]
         listed_ids = {entry.id for entry in event.endpoints}
         unchanged = (
             []
--- a/lab/model/registry.py
+++ b/lab/model/registry.py
@@ -17,7 +17,7 @@
 
 FAILURE_DELAY_US = 500_000  # time after which a call to an unreachable discovery fails
 DISCOVERY_ZONE = 0  # index of the zone that discovery runs in
-LINE_COST_SHARE = 0.001  # cost of an entry in an answer, as a share of a call's cost
+ENTRY_COST_SHARE = 0.001  # cost of an entry in an answer, as a share of a call's cost
 FAILED_CALL_FACTOR = 4  # multiplies the time until a gateway counts as notified, after a failed call
 
 
@@ -105,8 +105,8 @@
         elif wait_us > queue_us:
             self._clock.call_at(now_us + queue_us, self._fail, gateway, epoch)
         else:
-            lines = 0 if watch else len(self._entries)
-            cost_us = round((1.0 + LINE_COST_SHARE * lines) / self._terms.calls_per_s * 1e6)
+            listed_count = 0 if watch else len(self._entries)
+            cost_us = round((1.0 + ENTRY_COST_SHARE * listed_count) / self._terms.calls_per_s * 1e6)
             self._busy_until_us = now_us + wait_us + cost_us
             self._clock.call_at(self._busy_until_us, self._answer, gateway, epoch, watch)
 
--- a/lab/page/plot_sections.py
+++ b/lab/page/plot_sections.py
@@ -167,8 +167,8 @@
             top = max(0.1 if kind == "shed" else 1.0, axes.get_ylim()[1])
             axes.set(title=title, ylim=(-0.02 * top, top))  # keeps a line at zero visible
             if not any(np.any(r["guards"][kind]) for results in guarded.values() for r in results):
-                where = {"transform": axes.transAxes, "ha": "center", "color": GREY}
-                axes.text(0.5, 0.5, "zero throughout", **where)
+                text_options = {"transform": axes.transAxes, "ha": "center", "color": GREY}
+                axes.text(0.5, 0.5, "zero throughout", **text_options)
             if axes.get_subplotspec().is_last_row():
                 axes.set_xlabel("second")
         picture = plots.render_svg(figure, guarded)
--- a/lab/registry.py
+++ b/lab/registry.py
@@ -208,17 +208,19 @@
 
     async def play(self, changes: list[TimedChange], start_ns: int) -> None:
         """Make each change at its time, counted from a time of the monotonic clock."""
-        for at_s, what, numbers in changes:
+        for at_s, new_status, numbers in changes:
             wait_s = start_ns / 1e9 + at_s - time.monotonic()
             if wait_s > 0:
                 await asyncio.sleep(wait_s)
             self.late.record((time.monotonic() - start_ns / 1e9 - at_s) * 1e6)
-            if what == "down":
+            if new_status == "down":
                 self.go_down()
-            elif what == "up":
+            elif new_status == "up":
                 await self.listen()
             else:
-                self.change(((n, what) for n in numbers if n < len(self.initial_entries)), restarted=True)
+                self.change(
+                    ((n, new_status) for n in numbers if n < len(self.initial_entries)), restarted=True
+                )
 
     async def handle(self, command: RegistryCommand) -> Any:
         """Execute a command and return its answer."""
--- a/lab/reload.py
+++ b/lab/reload.py
@@ -246,7 +246,7 @@
 
 def summaries(histograms: dict[str, Histogram]) -> dict[str, Any]:
     """Return the summary of each histogram."""
-    return {key: hist.summary() for key, hist in histograms.items()}
+    return {key: histogram.summary() for key, histogram in histograms.items()}
 
 
 def compare_phases(without_changes: dict[str, Any], with_changes: dict[str, Any]) -> dict[str, Any]:
--- a/lab/stalls.py
+++ b/lab/stalls.py
@@ -24,20 +24,20 @@
     machine lengthen the wall time of a step, but not its CPU time.
 
     Attributes:
-        hists: The wall times of the steps of each name.
+        histograms: The wall times of the steps of each name.
         max_cpu: The largest CPU time in milliseconds of a step of each name, and the number of that step.
         started: The clocks when the current garbage collection started.
     """
 
     def __init__(self) -> None:
-        self.hists: dict[str, Histogram] = {}
+        self.histograms: dict[str, Histogram] = {}
         self.max_cpu: dict[str, tuple[float, int]] = {}
         self.started = (0, 0)
 
     def record(self, name: str, started: tuple[int, int], step: int = 0) -> None:
         """Record a step that started at the given clocks and ends now."""
         ended = read_clocks()
-        self.hists.setdefault(name, Histogram()).record((ended[0] - started[0]) / 1e3)
+        self.histograms.setdefault(name, Histogram()).record((ended[0] - started[0]) / 1e3)
         self.max_cpu[name] = max(self.max_cpu.get(name, (0.0, 0)), ((ended[1] - started[1]) / 1e6, step))
 
     def run_steps(self, name: str, steps: Steps[T]) -> T:
@@ -63,15 +63,15 @@
 
     def costs(self) -> dict[str, StepCost]:
         """Return the cost of the recorded steps by name."""
-        return {name: self._cost(name, hist) for name, hist in self.hists.items()}
+        return {name: self._cost(name, histogram) for name, histogram in self.histograms.items()}
 
-    def _cost(self, name: str, hist: Histogram) -> StepCost:
+    def _cost(self, name: str, histogram: Histogram) -> StepCost:
         most_cpu_ms, step = self.max_cpu[name]
         return StepCost(
-            count=hist.count,
-            p50_ms=hist.percentile_ms(50),
-            p99_ms=hist.percentile_ms(99),
-            most_ms=hist.percentile_ms(100),
+            count=histogram.count,
+            p50_ms=histogram.percentile_ms(50),
+            p99_ms=histogram.percentile_ms(99),
+            most_ms=histogram.percentile_ms(100),
             most_cpu_ms=most_cpu_ms,
             step=step,
         )
