--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -26,7 +26,7 @@
 memory_option = click.option(
     "--memory-mb",
     type=click.IntRange(100),
-    help="Memory limit of all processes, in MB [default: half of the machine's]",
+    help="Memory bound of all child processes together, in MB [default: half of the machine's]",
 )
 lateness_bound_option = click.option(
     "--late-ms",
@@ -93,7 +93,7 @@
 @click.option(
     "--memory-mb",
     type=click.IntRange(1),
-    help="Memory limit of each run, in MB [default: half of the machine's]",
+    help="Memory bound of each run, in MB [default: half of the machine's]",
 )
 @click.option(
     "--out",
@@ -142,7 +142,7 @@
     type=click.FloatRange(0, 5000, min_open=True),
     default=200.0,
     show_default=True,
-    help="Requests per second through all real gateways together; as many bypass the gateways.",
+    help="Requests per second through all real gateways together; as many go directly to endpoints.",
 )
 @click.option(
     "--hollow-rate",
@@ -211,7 +211,7 @@
     type=click.FloatRange(0, 5000, min_open=True),
     default=200.0,
     show_default=True,
-    help="Requests per second to each real gateway; as many bypass the gateways.",
+    help="Requests per second to each real gateway; as many go directly to endpoints.",
 )
 @click.option(
     "--seconds",
--- a/lab/arguments.py
+++ b/lab/arguments.py
@@ -36,7 +36,7 @@
 
 
 def resolve_memory_bound_mb(memory_mb: int | None) -> int:
-    """Return the memory limit in megabytes; the default and the maximum are half of the machine's memory."""
+    """Return the memory bound in megabytes; the default and the maximum are half of the machine's memory."""
     limit_mb = half_of_memory_mb()
     if memory_mb is not None and memory_mb > limit_mb:
         raise click.BadParameter(f"--memory-mb must be at most half of the machine's memory: {limit_mb}")
--- a/lab/figures.py
+++ b/lab/figures.py
@@ -40,7 +40,11 @@
 
 
 class Traffic(msgspec.Struct, frozen=True):
-    """Bytes and messages that a role has sent and received."""
+    """Bytes and messages between two roles.
+
+    Of the traffic with discovery only what discovery sends is counted. A request and its answer are one
+    message, with the bytes of both.
+    """
 
     bytes: float
     messages: float
@@ -55,8 +59,8 @@
         resident_mb: Resident memory per member.
         cpu_s_per_s: CPU seconds per second and member.
         busiest_cpu_s_per_s: CPU seconds per second of the busiest process.
-        bytes_per_s: Bytes sent and received per second and member.
-        messages_per_s: Messages sent and received per second and member.
+        bytes_per_s: Bytes sent and received per second and member, as counted in `Traffic`.
+        messages_per_s: Requests, and lists and changes from discovery, per second and member.
         ready_s: Time from start to ready: the longest of real gateways, p99 of simulated ones.
         start_cpu_s: Most CPU seconds that a gateway used until it was ready.
         in_force: Time until changes at discovery were in force. At real gateways this is the time until idle
@@ -119,7 +123,7 @@
 
 
 def discovery_traffic(scenarios: Scenarios, gateway_kind: str) -> Traffic:
-    """Return the traffic between discovery and one kind of gateway."""
+    """Return the traffic from discovery to one kind of gateway."""
 
     def scenario_traffic(scenario: ScenarioRecord) -> Traffic:
         before, after = scenario.before.registry[gateway_kind], scenario.after.registry[gateway_kind]
@@ -129,7 +133,7 @@
 
 
 def endpoint_traffic(scenarios: Scenarios, target: str) -> Traffic:
-    """Return the traffic of the endpoints with the senders of a target: gateways or direct clients."""
+    """Return the traffic between endpoints and those that send to them: gateways, or clients directly."""
 
     def scenario_traffic(scenario: ScenarioRecord) -> Traffic:
         before, after = scenario.before.statements[target], scenario.after.statements[target]
@@ -139,7 +143,7 @@
 
 
 def client_traffic(scenarios: Scenarios, target: str) -> Traffic:
-    """Return the traffic between the clients and a target."""
+    """Return the traffic between the clients and a target; requests of the warm-up count in bytes only."""
 
     def scenario_traffic(scenario: ScenarioRecord) -> Traffic:
         if not scenario.targets:
--- a/lab/gateway_messages.py
+++ b/lab/gateway_messages.py
@@ -1,4 +1,4 @@
-"""Messages between a run and the processes that simulate gateways or change their settings."""
+"""Messages between a run and its processes that simulate gateways, poll them or measure changes."""
 
 from __future__ import annotations
 
--- a/lab/model/attempts.py
+++ b/lab/model/attempts.py
@@ -63,7 +63,8 @@
     def send(self, gateway: ModelGateway, action: Send) -> None:
         """Start an attempt.
 
-        An attempt past the deadline or the attempt limit ends at once with `NOT_SENT`.
+        An attempt of a finished request, or past the deadline or the attempt limit, ends at once with
+        `NOT_SENT`.
         """
         request, now_us = gateway.requests.get(action.request_id), self._clock.now_us
         if request is None or action.endpoint_id not in gateway.known_ids:
--- a/lab/model/clients.py
+++ b/lab/model/clients.py
@@ -13,6 +13,7 @@
 from load_balancer.decisions.events import ClientDisconnected, RequestArrived
 from load_balancer.decisions.settings import DeduplicationScope
 
+# Ends after which a client may retry any request, even one that a killed gateway has already sent on.
 ALWAYS_RETRYABLE = (RequestEnd.REFUSED, RequestEnd.UNREACHABLE)
 
 
@@ -43,7 +44,7 @@
             self._clock.call_at(arrival_us, self._send, workload_row, 0)
 
     def finish(self, request: GatewayRequest, end: RequestEnd, retry_after_us: int = 0) -> None:
-        """End a try, and schedule a retry if the request class and the remaining time allow one.
+        """End a try, and schedule a retry if the class, the tries so far and the remaining time allow one.
 
         Args:
             request: The try.
@@ -64,7 +65,11 @@
             self._clock.call_at(now_us + delay_us, self._send, row, request.try_number + 1)
 
     def _may_retry(self, request: GatewayRequest, end: RequestEnd, elapsed_us: int) -> bool:
-        """Return whether the client may send its request again without the risk of a second effect."""
+        """Return whether the client may send its request again.
+
+        It may after a refusal, or if the gateway was down or has ended; otherwise only if a repeat has no
+        second effect.
+        """
         terms = request.request_class
         if end in ALWAYS_RETRYABLE or terms.effect is Effect.IDEMPOTENT:
             return True
--- a/lab/model/commands.py
+++ b/lab/model/commands.py
@@ -31,7 +31,9 @@
     help="[default: the scenario's]",
 )
 @click.option(
-    "--seeds", type=click.IntRange(1, 100_000), help="Run seeds 1 to this [default: the scenario's, else 5]"
+    "--seeds",
+    type=click.IntRange(1, 100_000),
+    help="Number of seeds, from 1 [default: the scenario's, else 5]",
 )
 @click.option("--jobs", type=click.IntRange(1, 256), default=4, show_default=True, help="Worker processes.")
 @click.option(
--- a/lab/model/comparison.py
+++ b/lab/model/comparison.py
@@ -40,7 +40,7 @@
 
     Args:
         baseline: Results that the candidate is compared with.
-        candidate: Results to judge.
+        candidate: Results to compare with the baseline.
         label: Text in front of each metric's name.
 
     Returns:
--- a/lab/model/congestion.py
+++ b/lab/model/congestion.py
@@ -9,7 +9,7 @@
 
 
 class CongestionState:
-    """Congestion of one endpoint, from a long queue until the endpoint has been idle long enough.
+    """Congestion of one endpoint, from a long queue until enough idle time or the maximum duration.
 
     Attributes:
         congested: Whether the endpoint is congested.
--- a/lab/model/endpoint.py
+++ b/lab/model/endpoint.py
@@ -1,4 +1,4 @@
-"""Model endpoints: cores, a queue, a warm-up and connections, as the pages BRIEF and BENCH describe them."""
+"""Model endpoints: cores, a queue, a warm-up and connections, as the operators' pages BRIEF and BENCH say."""
 
 from __future__ import annotations
 
--- a/lab/model/faults.py
+++ b/lab/model/faults.py
@@ -30,7 +30,7 @@
 
 
 class FaultScheduler:
-    """Schedules the begin and the end of faults."""
+    """Schedules the beginning and the end of faults."""
 
     def __init__(
         self,
--- a/lab/model/load_report.py
+++ b/lab/model/load_report.py
@@ -8,7 +8,7 @@
 SERVICE_TIME_SMOOTHING = 0.2  # weight of the newest service time in the reported one
 ERROR_RATE_SMOOTHING = 0.5  # weight of the newest error gap in the reported error rate
 MIN_ERROR_GAP_S = 0.05  # shorter gaps between errors count as this long
-ERROR_EXPIRY_S = 2.0  # a success this long after the last error reports a rate of 0
+ERROR_EXPIRY_S = 2.0  # a success this long after the last error resets the rate to 0
 
 
 class LoadReporter:
--- a/lab/model/overload.py
+++ b/lab/model/overload.py
@@ -24,7 +24,7 @@
 
 
 class OverloadWindow:
-    """The jobs that reached an endpoint within `overload_window_s` of its warm-up, with the rejected ones."""
+    """The jobs, rejected ones included, that reached an endpoint in the last `overload_window_s`."""
 
     def __init__(self, terms: WarmUp, mean_work_us: float, cores: int, speed: float) -> None:
         self._cores = cores
--- a/lab/model/rules.py
+++ b/lab/model/rules.py
@@ -1,4 +1,4 @@
-"""Checks of the four rules of WIRE on every event; violations are recorded with their time and gateway."""
+"""Checks of the four rules of the operators' page WIRE; violations are recorded with time and gateway."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 class Rule(IntEnum):
     """The numbers of the rules in stored results."""
 
-    INVALID_ACTION = 0  # none of the four rules: an action that scores nothing according to WIRE
+    INVALID_ACTION = 0  # none of the four rules: an action that scores nothing according to the page WIRE
     ONE_ANSWER = 1
     NO_DUPLICATE = 2
     DRAINING_ENDPOINT = 3
--- a/lab/model/run_record.py
+++ b/lab/model/run_record.py
@@ -14,7 +14,7 @@
         ends: How each request ended.
         latency_us: Latency of each request that was served, 0 for the others.
         costs: Counts by kind of cost.
-        useful_work_us: Endpoint work behind the answers that clients received.
+        useful_work_us: Work of the attempts whose answers the clients received.
         open_connections: Open connections of all endpoints, sampled once a second.
     """
 
--- a/lab/model/samples.py
+++ b/lab/model/samples.py
@@ -1,4 +1,4 @@
-"""Samples for the report's time plots: the endpoints' load and the gateways' protections, once a second."""
+"""Samples for plots, once a second: load of endpoints; breakers, limits and load shedding of gateways."""
 
 from __future__ import annotations
 
--- a/lab/model/scenario.py
+++ b/lab/model/scenario.py
@@ -323,7 +323,7 @@
     Attributes:
         affected_share: Share of the endpoints.
         waves: Number of waves.
-        drain_s: Time between the begin of draining and the stop.
+        drain_s: Time between the start of draining and the stop.
         down_s: Time between the stop and the start.
     """
 
--- a/lab/model/scenario_files.py
+++ b/lab/model/scenario_files.py
@@ -1,4 +1,4 @@
-"""Find, read and check scenario files in TOML; errors name the key."""
+"""Finds, reads and checks scenario files in TOML; errors name the key."""
 
 from __future__ import annotations
 
--- a/lab/model/simulation.py
+++ b/lab/model/simulation.py
@@ -53,9 +53,8 @@
         self.samples = Samples()
         self.fleet = EndpointFleet(self.clock, scenario, seed)
         self.rules = Rules(self.clock, make_settings(scenario, 0).drain_grace_us)
-        self.gateways: list[
-            ModelGateway
-        ] = []  # filled by _start_gateways; several objects below share this list
+        # Filled by _start_gateways; several objects below share this list.
+        self.gateways: list[ModelGateway] = []
         self._network = Network(scenario, seed)
         entries = self.fleet.entries()
         self.registry = Registry(self.clock, scenario.discovery, self._network, self.gateways, entries, seed)
--- a/lab/page/__init__.py
+++ b/lab/page/__init__.py
@@ -1,1 +1,1 @@
-"""One self-contained HTML page on what `lab run` has written: tables, and plots as inline SVG."""
+"""One self-contained HTML page on the results of `lab run`: tables, and plots as inline SVG."""
--- a/lab/page/table_sections.py
+++ b/lab/page/table_sections.py
@@ -92,7 +92,7 @@
     total = sum(r["broken"]["count"] for results in view.by_policy.values() for r in results)
     runs = sum(map(len, view.by_policy.values()))
     rules = "".join(f"<li>{rule}: {escape(text)}</li>" for rule, text in enumerate(RULE_DESCRIPTIONS) if rule)
-    parts = [f"<p>The model checks the four rules of WIRE on every event:</p><ul>{rules}</ul>"]
+    parts = [f"<p>The model checks the four rules of the page WIRE on every event:</p><ul>{rules}</ul>"]
     crashes = [r for r in view.results if "crash" in r]
     if crashes:
         rows = [[view.label(r["policy"]), str(r["seed"]), escape(str(r["crash"]))] for r in crashes]
--- a/lab/probes.py
+++ b/lab/probes.py
@@ -12,7 +12,7 @@
 from lab.rig import Rig
 
 PROBE_GAP_S = 0.2  # between the end of a probe and the start of the next
-PROBE_POLL_S = 0.05  # between two looks at the watched connections
+PROBE_POLL_S = 0.05  # between two checks of the watched connections
 PROBE_TIMEOUT_S = 3.0  # after which connections that are still open are counted as not closed
 
 
@@ -21,7 +21,7 @@
 
     The closes are seen from outside, at the stand-in for the endpoints. Only endpoints to which gateways hold
     idle connections are chosen, and none that `changes` change. Where discovery is down at the time of a
-    probe's change, the latency still counts from the change, not from discovery's return.
+    probe's change, the latency still counts from the change, not from the end of the outage.
     """
     rng, probes = random.Random(rig.plan.seed), Probes()
     changing = {number for _, _, numbers in changes for number in numbers}
--- a/lab/reload.py
+++ b/lab/reload.py
@@ -48,12 +48,12 @@
         tenants: Tenants in the configuration.
         real: Real gateways.
         simulated: Simulated gateways.
-        rate: Requests per second to each real gateway; as many bypass the gateways.
+        rate: Requests per second to each real gateway; as many are sent directly to endpoints.
         seconds: Duration of the requests without changes, and again of the requests with changes.
         every_s: Time between two changes during requests.
         changes: Changes made afterwards, one immediately after the other.
         seed: The seed of the schedules.
-        memory_mb: The memory limit of all processes.
+        memory_mb: Bound on the resident memory of all child processes together, in megabytes.
         late_ms: Largest lateness at p99, in milliseconds, with which the schedule counts as kept.
     """
 
@@ -125,7 +125,7 @@
             self.driver.add_gateway(gateway, rig.out / "logs" / f"{gateway.child.name}.json")
 
     async def play_requests(self, every_s: float | None) -> dict[str, Any]:
-        """Send requests through the gateways and past them; make changes unless `every_s` is None."""
+        """Send requests through gateways and directly to endpoints; make changes unless `every_s` is None."""
         plan = self.plan
         rig = self.rig
         histograms: dict[str, Histogram] = {}
@@ -229,7 +229,7 @@
         }
 
     async def measure_simulated(self) -> dict[str, Any]:
-        """Make the same changes at simulated gateways and return the cost of their steps."""
+        """Make changes from the same seed at simulated gateways and return the cost of their steps."""
         plan = self.plan
         path, _ = self.rig.write_config("hollow", plan.servers, plan.routes, plan.tenants, 0, plan.real)
         child = await self.rig.children.start("hollow", "lab.changes")
--- a/lab/report.py
+++ b/lab/report.py
@@ -27,7 +27,7 @@
 
 
 def problem_notes(result: dict[str, Any]) -> list[str]:
-    """Return a line for each exceeded limit, wrong answer and reason why the schedule was not kept."""
+    """Return a line for each exceeded bound, violation and reason why the schedule was not kept."""
     return [
         *(f"over the bound: {name}" for name in result["over_bound"]),
         *(f"broken: {problem}" for problem in result["broken"]),
--- a/lab/rig.py
+++ b/lab/rig.py
@@ -79,8 +79,8 @@
         self.ports: dict[str, int] = {}  # the endpoints' port for each target
         self.list_index = 0
         self.list_bytes = 0
-        # Even: a request through a gateway has an even id, and its direct counterpart the next odd one. The
-        # stand-in for the endpoints gives such a pair the same service time.
+        # Always even: a request through a gateway has an even id, its direct counterpart the next odd one.
+        # The stand-in for the endpoints gives such a pair the same service time.
         self._next_request_id = 2
 
     async def open(self) -> None:
--- a/lab/schedule.py
+++ b/lab/schedule.py
@@ -50,8 +50,8 @@
 Change = tuple[float, str, list[int]]
 DRAIN_S = 0.5  # from "leaving" to "left"
 DOWN_S = 1.0  # from "left" to "active" again
-RESTART_INTERVAL_S = 2_100  # mean time between two restarts of a server on an ordinary day
-MIN_RESTARTS_PER_S = 4.0  # of a small fleet: enough to measure
+RESTART_INTERVAL_S = 2_100  # mean time between two restarts of a server in ordinary operation
+MIN_RESTARTS_PER_S = 4.0  # restarts of a small fleet, so that there are enough to measure
 WAVE_SHARE = 0.02  # share of a zone's servers that a release restarts at once
 OUTAGE_SHARE = 0.3  # share of the scenario during which discovery is down
 
@@ -66,7 +66,7 @@
 
 
 def ordinary(rng: np.random.Generator, servers: int, seconds: float) -> list[Change]:
-    """Restart single servers at random, none again until some time after its restart."""
+    """Restart single servers at random; a server that has just restarted is not chosen for some time."""
     free_at_s = np.zeros(servers)
     changes: list[Change] = []
     for at_s in arrivals(rng, max(MIN_RESTARTS_PER_S, servers / RESTART_INTERVAL_S), seconds).tolist():
--- a/lab/simulated_gateways.py
+++ b/lab/simulated_gateways.py
@@ -52,7 +52,7 @@
 TIMEOUT_US = 2_000_000
 ANSWER_S = 0.005  # mean latency of an attempt
 ERROR_SHARE = 0.03  # share of the attempts that end as an error
-PLAN_INTERVAL_S = 1.0  # requests are planned for this time at once
+PLAN_INTERVAL_S = 1.0  # requests are planned in advance for this long
 PLANNED_ANSWERS = 4096  # drawn in advance and repeated
 
 ChangeKey = tuple[int, str, int]  # endpoint id, status, start in microseconds
@@ -172,7 +172,7 @@
         clock: The clock of the gateways.
         gateways: All gateways of the process.
         config: The configuration that the gateways share, once it has been read.
-        received: When each change was handled, in nanoseconds, one time for each gateway.
+        received: The times at which gateways handled each change, in nanoseconds; one for each gateway.
         ready: Time from a gateway's start until it was ready.
         list_latency: Time to handle an endpoint list.
         late: How far requests were behind their schedule.
--- a/lab/up.py
+++ b/lab/up.py
@@ -32,6 +32,7 @@
 
     Raises:
         ChildError: A child process has ended unexpectedly.
+        TimeoutError: A gateway was not ready in time.
     """
     async with Children(MEMORY_MB, folder) as children:
         registry = await children.start("registry", "lab.registry")
@@ -56,7 +57,12 @@
 async def start_gateway(
     children: Children, folder: Path, raw: dict[str, Any], discovery: str, number: int
 ) -> tuple[Child, Address]:
-    """Start gateway `number` and return it with its address once it is ready."""
+    """Start gateway `number` and return it with its address once it is ready.
+
+    Raises:
+        ChildError: The gateway has ended.
+        TimeoutError: The gateway was not ready in time.
+    """
     host = f"127.0.1.{number + 1}"
     with socket.create_server((host, 0)) as reserved:
         port = reserved.getsockname()[1]
