--- a/lab/gateway_messages.py
+++ b/lab/gateway_messages.py
@@ -42,7 +42,7 @@
     """Send requests to all gateways until the next command that starts gateways or requests.
 
     Attributes:
-        rate: Requests a second to each gateway.
+        rate: Requests per second to each gateway.
         routes: The number of routes.
         tenants: The number of tenants.
         seed: The seed of the requests.
--- a/lab/messages.py
+++ b/lab/messages.py
@@ -246,7 +246,7 @@
 
     Attributes:
         seed: The seed of the requests.
-        rate: Requests a second through all gateways together; as many are sent directly to endpoints.
+        rate: Requests per second through all gateways together; as many are sent directly to endpoints.
         seconds: How long requests are sent.
         routes: The number of routes.
         tenants: The number of tenants.
--- a/lab/model/commands.py
+++ b/lab/model/commands.py
@@ -120,7 +120,7 @@
         progress.add_task(plan.scenario.name, total=len(list(plan.tasks())))
         results = experiment.run_plan(plan, out, jobs, advance)
     took_s = time.monotonic() - started_s
-    print(f"{run_count} runs in {took_s:.1f} s, {event_count / took_s:,.0f} events a second", file=sys.stderr)
+    print(f"{run_count} runs in {took_s:.1f} s, {event_count / took_s:,.0f} events/s", file=sys.stderr)
     return results
 
 
--- a/lab/records.py
+++ b/lab/records.py
@@ -28,8 +28,8 @@
         simulated: Simulated gateways.
         real: Real gateways.
         seed: Seed of all schedules.
-        rate: Requests a second through all real gateways together; as many are sent directly to endpoints.
-        simulated_rate: Requests a second to each simulated gateway.
+        rate: Requests per second through all real gateways together; as many are sent directly to endpoints.
+        simulated_rate: Requests per second to each simulated gateway.
         seconds: Duration of each scenario.
         sweep_s: Seconds of requests at each size of a sweep.
         scenarios: Names of the scenarios, in the order in which they are played.
--- a/lab/rig.py
+++ b/lab/rig.py
@@ -180,7 +180,7 @@
 
         Args:
             gateways: The gateways.
-            rate: Requests a second through all of them together.
+            rate: Requests per second through all of them together.
             seconds: How long requests are sent.
             routes: The number of routes.
             tenants: The number of tenants.
--- a/lab/scale.py
+++ b/lab/scale.py
@@ -38,7 +38,7 @@
 
 SIZES_PER_KIND = 4  # points of a sweep, up to the size in the plan
 BASE_SIZES = {"servers": 20, "routes": 4, "tenants": 4}  # sizes of the kinds that a sweep does not vary
-SWEEP_RATE = 200.0  # requests a second to the gateway that is measured
+SWEEP_RATE = 200.0  # requests per second to the gateway that is measured
 STEP_S = 1.5  # duration of the changes at each number of simulated gateways
 MAX_GATEWAYS_PER_PROCESS = 25  # limit on the simulated gateways in one process
 MIN_PROCESSES = psutil.cpu_count() or 1  # processes of simulated gateways, unless there are fewer gateways
