--- a/lab/model/commands.py
+++ b/lab/model/commands.py
@@ -31,7 +31,9 @@
     help="[default: the scenario's]",
 )
 @click.option(
-    "--seeds", type=click.IntRange(1, 100_000), help="Run seeds 1 to this [default: the scenario's, else 5]"
+    "--seeds",
+    type=click.IntRange(1, 100_000),
+    help="Number of seeds, from 1 [default: the scenario's, else 5]",
 )
 @click.option("--jobs", type=click.IntRange(1, 256), default=4, show_default=True, help="Worker processes.")
 @click.option(
@@ -118,7 +120,7 @@
         progress.add_task(plan.scenario.name, total=len(list(plan.tasks())))
         results = experiment.run_plan(plan, out, jobs, advance)
     took_s = time.monotonic() - started_s
-    print(f"{run_count} runs in {took_s:.1f} s, {event_count / took_s:,.0f} events a second", file=sys.stderr)
+    print(f"{run_count} runs in {took_s:.1f} s, {event_count / took_s:,.0f} events/s", file=sys.stderr)
     return results
 
 
--- a/lab/model/overload.py
+++ b/lab/model/overload.py
@@ -24,7 +24,7 @@
 
 
 class OverloadWindow:
-    """The jobs that reached an endpoint within `overload_window_s` of its warm-up, with the rejected ones."""
+    """The jobs, rejected ones included, that reached an endpoint in the last `overload_window_s`."""
 
     def __init__(self, terms: WarmUp, mean_work_us: float, cores: int, speed: float) -> None:
         self._cores = cores
@@ -60,9 +60,9 @@
             return None
         notified_work_us: dict[int, float] = {}
         for _, received in self._jobs:
-            notified_us = received.work_us * received.sender_notified_of_start
+            job_work_us = received.work_us * received.sender_notified_of_start
             notified_work_us[received.gateway_index] = (
-                notified_work_us.get(received.gateway_index, 0.0) + notified_us
+                notified_work_us.get(received.gateway_index, 0.0) + job_work_us
             )
         return Overload(
             sum(notified_work_us.values()) / work_us, max(notified_work_us, key=lambda n: notified_work_us[n])
